--- a/internal/capacity/region.go
+++ b/internal/capacity/region.go
@@ -129,7 +129,7 @@
 func (r *region) carry(from string, call membership.Call) {
 	to, ok := r.tables[call.Address]
 	if !ok {
-		r.tables[from].Failed(r.now, call)
+		r.tables[from].HandleFailure(r.now, call)
 		return
 	}
 	request := &membershipv1.SyncRequest{}
@@ -140,8 +140,8 @@
 		r.spent[end].bytes += there + back + callFraming
 		r.spent[end].calls++
 	}
-	if call.IsFrom(response) {
-		r.tables[from].Answered(r.now, call, response)
+	if call.MatchesResponse(response) {
+		r.tables[from].HandleResponse(r.now, call, response)
 	}
 }
 
--- a/internal/leaving/tracker_test.go
+++ b/internal/leaving/tracker_test.go
@@ -77,7 +77,7 @@
 // startNodes joins eight nodes in memory and waits until they know each other.
 func startNodes(t *testing.T) ([]*Tracker, func()) {
 	ctx, cancel := context.WithCancel(t.Context())
-	net := membershiptest.NewNet()
+	net := membershiptest.NewNetwork()
 	var running sync.WaitGroup
 	var trackers []*Tracker
 	for i := range nodes {
@@ -87,7 +87,7 @@
 		tracker := NewTracker(runner, prometheus.NewRegistry())
 		runner.OnNote(NoteKind, tracker.Receive)
 		runner.AddSeed("vm-0")
-		net.Start(name, runner)
+		net.Register(name, runner)
 		trackers = append(trackers, tracker)
 		running.Go(func() { runner.Run(ctx) })
 	}
--- a/internal/membership/answer.go
+++ b/internal/membership/answer.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Answered takes in the answer to a call.
-func (t *Table) Answered(now time.Time, c Call, r *membershipv1.SyncResponse) {
+// HandleResponse takes in the answer to a call.
+func (t *Table) HandleResponse(now time.Time, c Call, r *membershipv1.SyncResponse) {
 	gossip := r.GetGossip()
 	sender := gossip.GetSender()
 	if sender != nil && sender.GetRegion() != t.self.wire.Region {
@@ -76,10 +76,10 @@
 	t.askWhole = c.Target
 }
 
-// Failed tells that a call got no answer. For a heartbeat it returns the
+// HandleFailure tells that a call got no answer. For a heartbeat it returns the
 // indirect probes to send; where there is nobody to ask the target is
 // suspected at once.
-func (t *Table) Failed(now time.Time, c Call) []IndirectCall {
+func (t *Table) HandleFailure(now time.Time, c Call) []IndirectCall {
 	if c.Kind == CallSeed || c.Kind == CallRegion {
 		t.seeds.failed(now, c.Address)
 		return nil
@@ -91,7 +91,7 @@
 	t.counts.ProbeFailures++
 	helpers := t.randomMembers(t.settings.IndirectProbes, e)
 	if len(helpers) == 0 {
-		t.Unreached(now, c)
+		t.HandleUnreachable(now, c)
 		return nil
 	}
 	var calls []IndirectCall
@@ -106,13 +106,13 @@
 	return calls
 }
 
-// Reached tells that a helper reached the target: what is cut is this node's
+// HandleIndirectSuccess tells that a helper reached the target: what is cut is this node's
 // own way to it.
-func (t *Table) Reached(time.Time, Call) { t.awareness = max(t.awareness-1, 0) }
+func (t *Table) HandleIndirectSuccess(time.Time, Call) { t.awareness = max(t.awareness-1, 0) }
 
-// Unreached tells that neither this node nor its helpers reached the target,
+// HandleUnreachable tells that neither this node nor its helpers reached the target,
 // which is suspected at the incarnation that was probed.
-func (t *Table) Unreached(now time.Time, c Call) {
+func (t *Table) HandleUnreachable(now time.Time, c Call) {
 	t.awareness = min(t.awareness+1, maxAwareness)
 	e, ok := t.entries[c.Target]
 	if !ok || e.wire.Liveness != alive || e.wire.Incarnation != c.Request.GetTargetIncarnation() {
@@ -123,8 +123,8 @@
 	t.urgent = true
 }
 
-// Probe returns the message by which this node probes a target for another.
-func (t *Table) Probe(now time.Time, r *membershipv1.ProbeRequest) Call {
+// HandleProbe returns the message by which this node probes a target for another.
+func (t *Table) HandleProbe(now time.Time, r *membershipv1.ProbeRequest) Call {
 	if e, ok := t.entries[r.GetTarget()]; ok && e != t.self {
 		return t.call(now, CallPush, e)
 	}
@@ -136,9 +136,9 @@
 	}
 }
 
-// IsFrom reports whether an answer came from the call's target: after a
+// MatchesResponse reports whether an answer came from the call's target: after a
 // replacement another VM may have the address.
-func (c Call) IsFrom(r *membershipv1.SyncResponse) bool {
+func (c Call) MatchesResponse(r *membershipv1.SyncResponse) bool {
 	sender := r.GetGossip().GetSender()
 	return sender == nil || c.Target == "" || sender.GetName() == c.Target
 }
--- a/internal/membership/call.go
+++ b/internal/membership/call.go
@@ -13,14 +13,14 @@
 	CallPush
 	// CallSeed goes to an address not yet known as a member.
 	CallSeed
-	// CallWhole asks for the whole table.
-	CallWhole
+	// CallFullSync asks for the whole table.
+	CallFullSync
 	// CallRegion goes from a relay to a contact in another region.
 	CallRegion
 )
 
-// Call is a message that the table wants sent. The caller reports Answered or
-// Failed.
+// Call is a message to send for the table. The caller then passes the outcome to
+// HandleResponse or HandleFailure.
 type Call struct {
 	Kind CallKind
 	// Target is the member's name; it may be empty for seeds and contacts.
@@ -30,8 +30,8 @@
 }
 
 // IndirectCall asks a helper to probe a target that this node cannot reach.
-// The caller reports Reached after the first that succeeds, or Unreached once
-// all have failed.
+// The caller calls HandleIndirectSuccess after the first success, or
+// HandleUnreachable once all have failed.
 type IndirectCall struct {
 	Helper  string
 	Address string
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -146,7 +146,7 @@
 	if !ok {
 		return
 	}
-	indirect := table.Failed(f.now, call)
+	indirect := table.HandleFailure(f.now, call)
 	if len(indirect) == 0 {
 		return
 	}
@@ -156,10 +156,10 @@
 	}
 	f.after(2*DefaultProbeTimeout, func() {
 		if reached {
-			table.Reached(f.now, call)
+			table.HandleIndirectSuccess(f.now, call)
 			return
 		}
-		table.Unreached(f.now, call)
+		table.HandleUnreachable(f.now, call)
 	})
 }
 
@@ -169,7 +169,7 @@
 	if !ok || f.blocked(from, c.Address) || f.lost(from, c.Address) {
 		return false
 	}
-	return f.exchange(c.Address, helper.Probe(f.now, c.Request)) && !f.lost(c.Address, from)
+	return f.exchange(c.Address, helper.HandleProbe(f.now, c.Request)) && !f.lost(c.Address, from)
 }
 
 // exchange carries one call there and back, through the wire's encoding.
@@ -184,10 +184,10 @@
 	answer := to.HandleSync(f.now, request)
 	response := &membershipv1.SyncResponse{}
 	f.count(from, call.Address, size, f.carry(answer, response))
-	if f.lost(call.Address, from) || !call.IsFrom(response) {
+	if f.lost(call.Address, from) || !call.MatchesResponse(response) {
 		return false
 	}
-	f.tables[from].Answered(f.now, call, response)
+	f.tables[from].HandleResponse(f.now, call, response)
 	return true
 }
 
@@ -273,7 +273,7 @@
 		sum.Suspicions += c.Suspicions
 		sum.Refutations += c.Refutations
 		sum.Deaths += c.Deaths
-		sum.WholeTables += c.WholeTables
+		sum.FullSyncs += c.FullSyncs
 	}
 	return sum
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -78,7 +78,7 @@
 
 // wholeGossip carries the whole table.
 func (t *Table) wholeGossip(now time.Time) *membershipv1.Gossip {
-	t.counts.WholeTables++
+	t.counts.FullSyncs++
 	g := &membershipv1.Gossip{
 		Status:         t.self.status(),
 		Regions:        t.regions.all(),
--- a/internal/membership/instances.go
+++ b/internal/membership/instances.go
@@ -28,7 +28,7 @@
 }
 
 func (t *Table) applyInstance(now time.Time, instance platform.Instance) {
-	region := t.settings.Zones[instance.AvailabilityZone]
+	region := t.settings.RegionByZone[instance.AvailabilityZone]
 	if region != "" && region != t.self.wire.Region {
 		t.regions.learn(region, instance.Name, instance.Address)
 		return
--- a/internal/membership/membershiptest/net.go
+++ b/internal/membership/membershiptest/net.go
@@ -17,33 +17,33 @@
 // ErrUnreachable is what calls to an address without a handler get.
 var ErrUnreachable = errors.New("membershiptest: unreachable")
 
-// Net carries messages between handlers by address; each message is copied as
+// Network carries messages between handlers by address; each message is copied as
 // on a wire. It implements membership.Caller.
-type Net struct {
+type Network struct {
 	mu       sync.Mutex
 	handlers map[string]membershipv1connect.MembershipServiceHandler
 }
 
-// NewNet returns a net that reaches nobody.
-func NewNet() *Net {
-	return &Net{handlers: make(map[string]membershipv1connect.MembershipServiceHandler)}
+// NewNetwork returns a net that reaches nobody.
+func NewNetwork() *Network {
+	return &Network{handlers: make(map[string]membershipv1connect.MembershipServiceHandler)}
 }
 
-// Start makes the handler reachable under the address.
-func (n *Net) Start(address string, h membershipv1connect.MembershipServiceHandler) {
+// Register makes the handler reachable under the address.
+func (n *Network) Register(address string, h membershipv1connect.MembershipServiceHandler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handlers[address] = h
 }
 
-// Stop makes the address unreachable.
-func (n *Net) Stop(address string) {
+// Unregister makes the address unreachable.
+func (n *Network) Unregister(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.handlers, address)
 }
 
-func (n *Net) handler(address string) (membershipv1connect.MembershipServiceHandler, error) {
+func (n *Network) handler(address string) (membershipv1connect.MembershipServiceHandler, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if h, ok := n.handlers[address]; ok {
@@ -53,7 +53,7 @@
 }
 
 // Sync implements membership.Caller.
-func (n *Net) Sync(ctx context.Context, address string, r *membershipv1.SyncRequest) (*membershipv1.SyncResponse, error) {
+func (n *Network) Sync(ctx context.Context, address string, r *membershipv1.SyncRequest) (*membershipv1.SyncResponse, error) {
 	h, err := n.handler(address)
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 }
 
 // Probe implements membership.Caller.
-func (n *Net) Probe(ctx context.Context, address string, r *membershipv1.ProbeRequest) (*membershipv1.ProbeResponse, error) {
+func (n *Network) Probe(ctx context.Context, address string, r *membershipv1.ProbeRequest) (*membershipv1.ProbeResponse, error) {
 	h, err := n.handler(address)
 	if err != nil {
 		return nil, err
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -119,7 +119,7 @@
 // rounds, and with the doubt in this node's own link.
 func (t *Table) suspicionTime() time.Duration {
 	scale := max(1, math.Log10(float64(len(t.entries))))
-	return time.Duration(float64(t.settings.SuspicionTime) * scale * float64(1+t.awareness))
+	return time.Duration(float64(t.settings.SuspicionTimeout) * scale * float64(1+t.awareness))
 }
 
 // mergeSelf answers what others say of this node: a doubt is refuted by a
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -14,7 +14,7 @@
 		{"suspicions", "Members that became suspect here.", func(c Counts) int64 { return c.Suspicions }},
 		{"refutations", "Doubts in this node that it refuted.", func(c Counts) int64 { return c.Refutations }},
 		{"deaths", "Members declared dead here.", func(c Counts) int64 { return c.Deaths }},
-		{"whole_tables", "Whole tables sent.", func(c Counts) int64 { return c.WholeTables }},
+		{"whole_tables", "Whole tables sent.", func(c Counts) int64 { return c.FullSyncs }},
 		{"pushes", "Messages sent at once for urgent news.", func(c Counts) int64 { return c.Pushes }},
 		{"syncs_handled", "Messages of peers answered.", func(c Counts) int64 { return c.SyncsHandled }},
 	}
--- a/internal/membership/regions.go
+++ b/internal/membership/regions.go
@@ -150,7 +150,7 @@
 			Serving:        int(s.Serving),
 			Load:           float64(s.Load) / loadSteps,
 			ConfigRevision: s.ConfigRevision,
-			Composed:       time.UnixMilli(s.Version),
+			SummarizedAt:   time.UnixMilli(s.Version),
 		}
 		for _, c := range s.Contacts {
 			region.Contacts = append(region.Contacts, c.PeerAddress)
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -88,8 +88,8 @@
 // Leave marks this node as leaving; peers are told within a tick.
 func (r *Runner) Leave() { r.update(func(now time.Time) { r.table.Leave(now) }) }
 
-// Stay takes a Leave back.
-func (r *Runner) Stay() { r.update(func(now time.Time) { r.table.Stay(now) }) }
+// CancelLeave takes a Leave back.
+func (r *Runner) CancelLeave() { r.update(func(now time.Time) { r.table.CancelLeave(now) }) }
 
 // AddSeed adds a peer address from the settings.
 func (r *Runner) AddSeed(address string) {
@@ -138,7 +138,7 @@
 // Probe implements the peer service: it probes a member for another.
 func (r *Runner) Probe(ctx context.Context, request *connect.Request[membershipv1.ProbeRequest]) (*connect.Response[membershipv1.ProbeResponse], error) {
 	var call Call
-	r.update(func(now time.Time) { call = r.table.Probe(now, request.Msg) })
+	r.update(func(now time.Time) { call = r.table.HandleProbe(now, request.Msg) })
 	reached := r.exchange(ctx, call)
 	return connect.NewResponse(&membershipv1.ProbeResponse{Reached: reached}), nil
 }
@@ -192,7 +192,7 @@
 		return
 	}
 	var indirect []IndirectCall
-	r.update(func(now time.Time) { indirect = r.table.Failed(now, call) })
+	r.update(func(now time.Time) { indirect = r.table.HandleFailure(now, call) })
 	if len(indirect) == 0 {
 		return
 	}
@@ -202,10 +202,10 @@
 	}
 	r.update(func(now time.Time) {
 		if reached {
-			r.table.Reached(now, call)
+			r.table.HandleIndirectSuccess(now, call)
 			return
 		}
-		r.table.Unreached(now, call)
+		r.table.HandleUnreachable(now, call)
 	})
 }
 
@@ -214,10 +214,10 @@
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
 	response, err := r.caller.Sync(ctx, call.Address, call.Request)
-	if err != nil || !call.IsFrom(response) {
+	if err != nil || !call.MatchesResponse(response) {
 		return false
 	}
-	r.update(func(now time.Time) { r.table.Answered(now, call, response) })
+	r.update(func(now time.Time) { r.table.HandleResponse(now, call, response) })
 	return true
 }
 
--- a/internal/membership/runner_test.go
+++ b/internal/membership/runner_test.go
@@ -15,7 +15,7 @@
 func TestRunnersJoinSpreadAndNoticeDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		net := membershiptest.NewNet()
+		net := membershiptest.NewNetwork()
 		var running sync.WaitGroup
 		var runners []*Runner
 		var got sync.Map
@@ -27,7 +27,7 @@
 			r := NewRunner(self, Settings{}, net, rand.New(rand.NewPCG(3, uint64(i))))
 			r.AddSeed(nodeName("r", 0))
 			r.OnNote("k", func(n *membershipv1.Note) { got.Store(name, string(n.Value)) })
-			net.Start(name, r)
+			net.Register(name, r)
 			runners = append(runners, r)
 			own, stop := context.WithCancel(ctx)
 			stops[name] = stop
@@ -48,7 +48,7 @@
 				t.Errorf("node %d got %v as note", i, value)
 			}
 		}
-		net.Stop(nodeName("r", 4))
+		net.Unregister(nodeName("r", 4))
 		stops[nodeName("r", 4)]()
 		time.Sleep(20 * time.Second)
 		for _, m := range first.Members() {
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -29,27 +29,27 @@
 	ProbeTimeout time.Duration
 	// IndirectProbes is the number of members asked to probe for this node.
 	IndirectProbes int
-	// SuspicionTime is the time a suspect has to refute, at up to ten members;
+	// SuspicionTimeout is the time a suspect has to refute, at up to ten members;
 	// it grows with the logarithm of their number.
-	SuspicionTime time.Duration
+	SuspicionTimeout time.Duration
 	// StatusRefresh is the longest time between two statuses of one's own.
 	StatusRefresh time.Duration
 	// RegionInterval is the time between two calls of a relay to another
 	// region.
 	RegionInterval time.Duration
-	// Zones names the region of each availability zone, to tell seeds of
+	// RegionByZone names the region of each availability zone, to tell seeds of
 	// other regions apart. It may be empty.
-	Zones map[string]string
+	RegionByZone map[string]string
 }
 
 // The defaults of Settings.
 const (
-	DefaultProbeInterval  = time.Second
-	DefaultProbeTimeout   = 400 * time.Millisecond
-	DefaultIndirectProbes = 3
-	DefaultSuspicionTime  = 3 * time.Second
-	DefaultStatusRefresh  = 5 * time.Second
-	DefaultRegionInterval = 5 * time.Second
+	DefaultProbeInterval    = time.Second
+	DefaultProbeTimeout     = 400 * time.Millisecond
+	DefaultIndirectProbes   = 3
+	DefaultSuspicionTimeout = 3 * time.Second
+	DefaultStatusRefresh    = 5 * time.Second
+	DefaultRegionInterval   = 5 * time.Second
 )
 
 // Shares of one message.
@@ -100,7 +100,7 @@
 func (s Settings) withDefaults() Settings {
 	s.ProbeInterval = cmp.Or(s.ProbeInterval, DefaultProbeInterval)
 	s.ProbeTimeout = cmp.Or(s.ProbeTimeout, DefaultProbeTimeout)
-	s.SuspicionTime = cmp.Or(s.SuspicionTime, DefaultSuspicionTime)
+	s.SuspicionTimeout = cmp.Or(s.SuspicionTimeout, DefaultSuspicionTimeout)
 	s.StatusRefresh = cmp.Or(s.StatusRefresh, DefaultStatusRefresh)
 	s.RegionInterval = cmp.Or(s.RegionInterval, DefaultRegionInterval)
 	if s.IndirectProbes == 0 {
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -25,8 +25,8 @@
 	ConfigRevision int64
 	// Contacts are peer addresses of nodes that speak for the region.
 	Contacts []string
-	// Composed is when the region's relay made the summary, by its clock.
-	Composed time.Time
+	// SummarizedAt is when the region's relay made the summary, by its clock.
+	SummarizedAt time.Time
 }
 
 // Self returns this node's own member.
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -98,7 +98,7 @@
 type Counts struct {
 	Probes, ProbeFailures, IndirectProbes int64
 	Suspicions, Refutations, Deaths       int64
-	WholeTables, Pushes, SyncsHandled     int64
+	FullSyncs, Pushes, SyncsHandled       int64
 }
 
 // Counts returns the events since the start.
@@ -131,8 +131,8 @@
 	t.setSelfLeaving(now, true)
 }
 
-// Stay takes a Leave back; the platform's list may still say leaving.
-func (t *Table) Stay(now time.Time) {
+// CancelLeave takes a Leave back; the platform's list may still say leaving.
+func (t *Table) CancelLeave(now time.Time) {
 	t.stopping = false
 	t.setSelfLeaving(now, false)
 }
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -90,7 +90,7 @@
 	f := joinedFleet(t, 8)
 	name := nodeName("r", 3)
 	paused := f.tables[name]
-	paused.Unreached(f.now, paused.call(f.now, CallProbe, paused.entries[nodeName("r", 4)]))
+	paused.HandleUnreachable(f.now, paused.call(f.now, CallProbe, paused.entries[nodeName("r", 4)]))
 	f.kill(name)
 	f.run(time.Minute)
 	f.tables[name] = paused
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -83,7 +83,7 @@
 	if !ok || e.wire.Liveness == dead {
 		return nil
 	}
-	call := t.call(now, CallWhole, e)
+	call := t.call(now, CallFullSync, e)
 	call.Request.WantAll = true
 	return []Call{call}
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -112,7 +112,7 @@
 		return
 	}
 	d.withdrawn = time.Time{}
-	d.node.members.runner.Stay()
+	d.node.members.runner.CancelLeave()
 	d.node.moves.takeUp()
 }
 
