--- a/internal/capacity/decisions.go
+++ b/internal/capacity/decisions.go
@@ -109,7 +109,7 @@
 		for i := range decisionRounds {
 			now = now.Add(time.Millisecond)
 			submit(pool, i, now)
-			events := pool.Next(now)
+			events := pool.Decide(now)
 			for _, event := range events {
 				serve(pool, event.ID, now)
 			}
@@ -119,9 +119,9 @@
 }
 
 func serve(pool *router.Pool, id string, now time.Time) {
-	pool.FirstToken(now, id)
+	pool.RecordFirstToken(now, id)
 	for range 16 {
-		pool.Tokens(now, id, 28)
+		pool.RecordTokens(now, id, 28)
 	}
 	pool.Finish(now, id, router.ResultDone)
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -123,9 +123,9 @@
 }
 
 // Report gives a replica's load report to the decisions.
-func (d *Dispatcher) Report(upstream, replica string, load router.Load) {
+func (d *Dispatcher) Report(upstream, replica string, load router.LoadReport) {
 	if s := d.shard(upstream); s != nil {
-		s.update(func(now time.Time) { s.pool.Report(now, replica, load) })
+		s.update(func(now time.Time) { s.pool.RecordLoad(now, replica, load) })
 	}
 }
 
--- a/internal/dispatch/shard.go
+++ b/internal/dispatch/shard.go
@@ -42,7 +42,7 @@
 
 // deliver wakes every request the pool has decided on. The lock is held.
 func (s *shard) deliver(now time.Time) {
-	for _, event := range s.pool.Next(now) {
+	for _, event := range s.pool.Decide(now) {
 		wake, ok := s.waiting[event.ID]
 		if !ok {
 			continue
@@ -63,7 +63,7 @@
 	s.timer.Reset(max(deadline.Sub(now), 0))
 }
 
-func grantOf(event router.Event) grant {
+func grantOf(event router.Decision) grant {
 	if event.Refused != nil {
 		return grant{refused: event.Refused}
 	}
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -31,7 +31,7 @@
 
 // FirstToken tells the decisions that the answer has begun.
 func (s *Slot) FirstToken() {
-	s.shard.update(func(now time.Time) { s.shard.pool.FirstToken(now, s.id) })
+	s.shard.update(func(now time.Time) { s.shard.pool.RecordFirstToken(now, s.id) })
 }
 
 // Tokens counts n more tokens. The decisions are told of them in batches, since
@@ -52,7 +52,7 @@
 	if s.untold == 0 {
 		return
 	}
-	s.shard.pool.Tokens(now, s.id, s.untold)
+	s.shard.pool.RecordTokens(now, s.id, s.untold)
 	s.untold = 0
 }
 
--- a/internal/explain/bound.go
+++ b/internal/explain/bound.go
@@ -23,7 +23,7 @@
 	return Line{
 		Step: "bind", Peer: e.Replica, Decision: fmt.Sprintf("attempt %d bound", e.Attempt),
 		Reason: fmt.Sprintf("earliest expected finish of %d with a free slot: %d of %d slots used here, %.1f times the usual time a token, %.0f%% of the prefill cached, in %s",
-			c.Fit, c.Running, c.Limit, c.Slowness, 100*c.Cached, zone),
+			c.Eligible, c.Running, c.Limit, c.Slowness, 100*c.Cached, zone),
 	}
 }
 
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -39,8 +39,8 @@
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
 				p.Submit(now, benchRequest("1", now))
-				p.Next(now)
-				p.FirstToken(now, "1")
+				p.Decide(now)
+				p.RecordFirstToken(now, "1")
 				p.Finish(now, "1", ResultDone)
 			}
 		})
@@ -50,12 +50,12 @@
 func BenchmarkTokens(b *testing.B) {
 	p := benchPool(20)
 	p.Submit(start, benchRequest("1", start))
-	p.Next(start)
+	p.Decide(start)
 	now := start
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		p.Tokens(now, "1", 1)
+		p.RecordTokens(now, "1", 1)
 	}
 }
 
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -4,8 +4,8 @@
 
 // Choice is what was known of the chosen replica when it was chosen.
 type Choice struct {
-	// Fit counts the replicas it was chosen from: free ones fit for the request.
-	Fit int
+	// Eligible counts the replicas it was chosen from: free ones fit for the request.
+	Eligible int
 	// Running counts this node's requests there before this one, Limit its limit.
 	Running int
 	Limit   int
@@ -19,7 +19,7 @@
 
 func choiceOf(c *balancer.Candidate, fit int) Choice {
 	return Choice{
-		Fit: fit, Running: c.Running, Limit: c.Limit,
+		Eligible: fit, Running: c.Running, Limit: c.Limit,
 		Slowness: c.Slowness, Cached: c.Cached, SameZone: c.SameZone,
 	}
 }
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -2,8 +2,8 @@
 
 import "galenatrestle/internal/refusal"
 
-// Event is a decision of Pool.Next: exactly one of Replica and Refused is set.
-type Event struct {
+// Decision is a decision of Pool.Next: exactly one of Replica and Refused is set.
+type Decision struct {
 	ID string
 	// Replica is the replica the request is bound to.
 	Replica *Replica
--- a/internal/router/options.go
+++ b/internal/router/options.go
@@ -36,8 +36,8 @@
 	// MaxSketches bounds the length estimates kept by workspace; zero takes
 	// estimate.DefaultMaxSketches.
 	MaxSketches int
-	// Without takes decisions out, for measurements.
-	Without Features
+	// Disabled takes decisions out, for measurements.
+	Disabled Features
 }
 
 func (o Options) withDefaults() Options {
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -46,7 +46,7 @@
 	free       []*replicaState
 	candidates []balancer.Candidate
 	// shed holds refusals that the next Next returns.
-	shed []Event
+	shed []Decision
 	// changedAt is when something changed that Next has not yet looked at.
 	changedAt time.Time
 	stats     Stats
@@ -59,7 +59,7 @@
 		upstream:   options.Upstream,
 		zone:       options.AvailabilityZone,
 		rand:       options.Rand,
-		without:    options.Without,
+		without:    options.Disabled,
 		maxWaiting: options.MaxWaiting,
 		classes:    make(map[string]*classState),
 		replicas:   make(map[string]*replicaState),
--- a/internal/router/pool_circuit_test.go
+++ b/internal/router/pool_circuit_test.go
@@ -18,7 +18,7 @@
 		if refused := pool.Submit(now, request); refused != nil {
 			t.Fatal(refused)
 		}
-		for _, event := range pool.Next(now) {
+		for _, event := range pool.Decide(now) {
 			if event.Refused != nil {
 				t.Fatal(event.Refused)
 			}
@@ -47,16 +47,16 @@
 			t.Fatal(refused)
 		}
 	}
-	pool.Next(now)
+	pool.Decide(now)
 	pool.Finish(now, "first", ResultCrashed)
-	if events := pool.Next(now); len(events) != 0 {
+	if events := pool.Decide(now); len(events) != 0 {
 		t.Fatalf("bound at once to a replica that just failed: %+v", events)
 	}
 	probe := pool.Deadline(now)
 	if !probe.After(now) || probe.After(now.Add(time.Second)) {
 		t.Fatalf("deadline %s, want within a second of %s", probe, now)
 	}
-	events := pool.Next(probe)
+	events := pool.Decide(probe)
 	if len(events) != 1 || events[0].ID != "second" || events[0].Replica == nil {
 		t.Fatalf("at the probe: %+v, want the second request bound", events)
 	}
--- a/internal/router/pool_item.go
+++ b/internal/router/pool_item.go
@@ -52,7 +52,7 @@
 
 // latestStart is the latest start expected to meet the request's targets.
 func (p *Pool) latestStart(request *Request) time.Time {
-	if p.without.Slack {
+	if p.without.SlackOrder {
 		return request.Arrived.Add(arrivalOrder)
 	}
 	latest := request.GiveUpAt
@@ -72,7 +72,7 @@
 
 // uselessFrom is when a start is no longer expected to be of use.
 func (p *Pool) uselessFrom(request *Request) time.Time {
-	if p.without.Estimates {
+	if p.without.LengthEstimates {
 		return request.GiveUpAt
 	}
 	return startBy(request.Arrived, request.GiveUpAt, p.service(request, estimate.P90))
--- a/internal/router/pool_model_test.go
+++ b/internal/router/pool_model_test.go
@@ -52,7 +52,7 @@
 }
 
 func (m *model) next() {
-	for _, event := range m.pool.Next(m.now) {
+	for _, event := range m.pool.Decide(m.now) {
 		r, ok := m.waiting[event.ID]
 		if !ok {
 			m.t.Fatalf("event for %s, which does not wait", event.ID)
--- a/internal/router/pool_next.go
+++ b/internal/router/pool_next.go
@@ -6,8 +6,8 @@
 	"galenatrestle/internal/refusal"
 )
 
-// Next returns all bindings and refusals that are due at now.
-func (p *Pool) Next(now time.Time) []Event {
+// Decide returns all bindings and refusals that are due at now.
+func (p *Pool) Decide(now time.Time) []Decision {
 	events := p.shed
 	p.shed = nil
 	p.comparePace(now)
@@ -17,7 +17,7 @@
 	return events
 }
 
-func (p *Pool) expire(now time.Time, events []Event) []Event {
+func (p *Pool) expire(now time.Time, events []Decision) []Decision {
 	for i := p.queue.Expired(now); i != nil; i = p.queue.Expired(now) {
 		events = append(events, p.giveUpLate(now, i))
 	}
@@ -25,7 +25,7 @@
 }
 
 // giveUpLate refuses a request that is of no more use.
-func (p *Pool) giveUpLate(now time.Time, i *item) Event {
+func (p *Pool) giveUpLate(now time.Time, i *item) Decision {
 	if i.Value.request.GiveUpAt.After(now) {
 		return p.giveUp(i, refusal.TooLate, "the answer would come too late to be of use")
 	}
@@ -33,12 +33,12 @@
 }
 
 // giveUp refuses a request that has left the queue.
-func (p *Pool) giveUp(i *item, reason refusal.Reason, message string) Event {
+func (p *Pool) giveUp(i *item, reason refusal.Reason, message string) Decision {
 	p.leave(i)
 	p.stats.Refused++
 	w := i.Value
 	refused := refuse(&w.request, reason, stepQueue, message, w.class.GiveUpAfter.Std()/2)
-	return Event{ID: w.request.ID, Refused: refused}
+	return Decision{ID: w.request.ID, Refused: refused}
 }
 
 // maxPassed bounds the requests that one Next passes over.
@@ -46,7 +46,7 @@
 
 // bindAll binds requests while a replica is free. One for which no free replica
 // is fit is passed over and keeps its place.
-func (p *Pool) bindAll(now time.Time, events []Event) []Event {
+func (p *Pool) bindAll(now time.Time, events []Decision) []Decision {
 	var passed []*item
 	slots := p.slots()
 	for p.anyFree(now) && len(passed) < maxPassed {
@@ -85,7 +85,7 @@
 	return slots
 }
 
-func (p *Pool) bind(now time.Time, i *item, replica *replicaState, choice Choice) Event {
+func (p *Pool) bind(now time.Time, i *item, replica *replicaState, choice Choice) Decision {
 	p.leave(i)
 	p.stats.Bound++
 	i.Value.class.running++
@@ -100,5 +100,5 @@
 	id := i.Value.request.ID
 	p.running[id] = &running{item: i, replica: replica, boundAt: now, cached: cached}
 	chosen := replica.Replica
-	return Event{ID: id, Replica: &chosen, Choice: choice}
+	return Decision{ID: id, Replica: &chosen, Choice: choice}
 }
--- a/internal/router/pool_pace.go
+++ b/internal/router/pool_pace.go
@@ -22,7 +22,7 @@
 	p.usual = p.median(func(r *replicaState) float64 { return r.pace.Average() })
 	p.reference = p.median(func(r *replicaState) float64 { return r.floor.Value() })
 	p.speed.SetToken(p.usual)
-	if p.without.Stragglers {
+	if p.without.StragglerDetection {
 		return
 	}
 	for _, r := range p.order {
@@ -42,7 +42,7 @@
 		case !r.suspect():
 		case !works:
 			r.slowness = 1
-		case !p.without.Limits:
+		case !p.without.AdaptiveLimits:
 			r.learned.Shrink()
 		}
 	}
--- a/internal/router/pool_progress.go
+++ b/internal/router/pool_progress.go
@@ -11,8 +11,8 @@
 	leastGain = 0.1
 )
 
-// FirstToken notes that the first token of a running request came.
-func (p *Pool) FirstToken(now time.Time, id string) {
+// RecordFirstToken notes that the first token of a running request came.
+func (p *Pool) RecordFirstToken(now time.Time, id string) {
 	r, ok := p.running[id]
 	if !ok || !r.firstToken.IsZero() {
 		return
@@ -47,19 +47,19 @@
 	p.cacheGain += gainWeight * (min(gain, 1) - p.cacheGain)
 }
 
-// Tokens notes that n more tokens of a running request came.
-func (p *Pool) Tokens(now time.Time, id string, n int) {
+// RecordTokens notes that n more tokens of a running request came.
+func (p *Pool) RecordTokens(now time.Time, id string, n int) {
 	r, ok := p.running[id]
 	if !ok || n <= 0 {
 		return
 	}
 	if r.firstToken.IsZero() {
-		p.FirstToken(now, id)
+		p.RecordFirstToken(now, id)
 		n--
 	}
 	r.tokens += n
 	if n > 0 {
-		r.replica.tokens(now, n, now.Sub(r.lastToken), p.reference, !p.without.Limits)
+		r.replica.tokens(now, n, now.Sub(r.lastToken), p.reference, !p.without.AdaptiveLimits)
 	}
 	r.lastToken = now
 }
--- a/internal/router/pool_property_test.go
+++ b/internal/router/pool_property_test.go
@@ -78,8 +78,8 @@
 	if id == "" {
 		return
 	}
-	m.pool.FirstToken(m.now, id)
-	m.pool.Tokens(m.now, id, rapid.IntRange(1, 3000).Draw(t, "tokens"))
+	m.pool.RecordFirstToken(m.now, id)
+	m.pool.RecordTokens(m.now, id, rapid.IntRange(1, 3000).Draw(t, "tokens"))
 	m.finishAs(id, Result(rapid.IntRange(0, 4).Draw(t, "result")))
 	m.next()
 }
--- a/internal/router/pool_replicas.go
+++ b/internal/router/pool_replicas.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// Report takes in a replica's own load report; an older one than the last is
+// RecordLoad takes in a replica's own load report; an older one than the last is
 // dropped.
-func (p *Pool) Report(_ time.Time, replica string, load Load) {
+func (p *Pool) RecordLoad(_ time.Time, replica string, load LoadReport) {
 	r, ok := p.replicas[replica]
 	if !ok || load.At.Before(r.report.At) {
 		return
--- a/internal/router/pool_share_test.go
+++ b/internal/router/pool_share_test.go
@@ -50,7 +50,7 @@
 				}
 			}
 		}
-		for _, event := range p.Next(now) {
+		for _, event := range p.Decide(now) {
 			class := classOf[event.ID]
 			delete(classOf, event.ID)
 			if event.Replica != nil {
--- a/internal/router/pool_stats.go
+++ b/internal/router/pool_stats.go
@@ -29,7 +29,7 @@
 	})
 	for _, r := range p.order {
 		stats.Replicas = append(stats.Replicas, ReplicaStats{
-			Name: r.Name, Running: r.running, Slots: r.Slots, Limit: r.limit(), Leaving: !r.open(), Straggler: r.slowness,
+			Name: r.Name, Running: r.running, Slots: r.Slots, Limit: r.limit(), Leaving: !r.open(), Slowness: r.slowness,
 		})
 	}
 	return stats
--- a/internal/router/pool_straggler_test.go
+++ b/internal/router/pool_straggler_test.go
@@ -16,29 +16,29 @@
 		mustSubmit(t, p, r)
 	}
 	bound := make(map[string]string)
-	for _, event := range p.Next(now) {
+	for _, event := range p.Decide(now) {
 		bound[event.ID] = event.Replica.Name
 	}
 	for step := range 2000 {
 		now = now.Add(10 * time.Millisecond)
 		for id, name := range bound {
 			if name == "b" || step%10 == 0 {
-				p.Tokens(now, id, 1)
+				p.RecordTokens(now, id, 1)
 			}
 		}
-		p.Next(now)
+		p.Decide(now)
 	}
 	for id := range bound {
 		p.Finish(now, id, ResultDone)
 	}
-	p.Next(now)
+	p.Decide(now)
 	return now
 }
 
 func TestStragglerGetsNothingOfTheHighestTierUntilForgotten(t *testing.T) {
 	p := testPool(4, "a", "b")
 	now := slowReplica(t, p)
-	if stats := p.Stats(now); stats.Replicas[0].Straggler < 5 || stats.Replicas[0].Limit != 1 {
+	if stats := p.Stats(now); stats.Replicas[0].Slowness < 5 || stats.Replicas[0].Limit != 1 {
 		t.Fatalf("replica a: %+v, want a straggler with limit 1", stats.Replicas[0])
 	}
 	p.SetAllowance("b", 0)
@@ -47,12 +47,12 @@
 	if refused := p.Submit(now, r); refused != nil {
 		t.Fatal(refused)
 	}
-	if events := p.Next(now); len(events) != 0 {
+	if events := p.Decide(now); len(events) != 0 {
 		t.Fatalf("Next = %+v, want the request to wait", events)
 	}
 	for range 2000 {
 		now = p.Deadline(now)
-		if events := p.Next(now); len(events) > 0 {
+		if events := p.Decide(now); len(events) > 0 {
 			if waited := now.Sub(r.Arrived); waited < 10*time.Second {
 				t.Errorf("bound after %v, want the straggler to be remembered longer", waited)
 			}
@@ -78,7 +78,7 @@
 	if refused := p.Submit(now, r); refused != nil {
 		t.Fatal(refused)
 	}
-	if events := p.Next(now); len(events) != 1 || events[0].Replica.Name != "b" {
+	if events := p.Decide(now); len(events) != 1 || events[0].Replica.Name != "b" {
 		t.Fatalf("Next = %+v, want a binding to b", events)
 	}
 	p.Finish(now, "quick", result)
@@ -87,7 +87,7 @@
 		t.Fatal(refused)
 	}
 	now = now.Add(2 * paceEvery)
-	events := p.Next(now)
+	events := p.Decide(now)
 	if len(events) != 1 || events[0].Replica == nil || events[0].Replica.Name != "a" {
 		t.Fatalf("Next = %+v, want a binding to a at once", events)
 	}
--- a/internal/router/pool_test.go
+++ b/internal/router/pool_test.go
@@ -45,12 +45,12 @@
 	p := testPool(1, "a")
 	mustSubmit(t, p, request("long", "review"))
 	mustSubmit(t, p, request("short", "quick"))
-	events := p.Next(start)
+	events := p.Decide(start)
 	if len(events) != 1 || events[0].ID != "short" || events[0].Replica == nil {
 		t.Fatalf("Next = %+v, want the binding of short alone", events)
 	}
 	p.Finish(start, "short", ResultDone)
-	events = p.Next(start)
+	events = p.Decide(start)
 	if len(events) != 1 || events[0].ID != "long" {
 		t.Fatalf("Next = %+v, want the binding of long", events)
 	}
@@ -59,15 +59,15 @@
 func TestExpiryRefusesAsNotRun(t *testing.T) {
 	p := testPool(1, "a")
 	mustSubmit(t, p, request("1", "quick"))
-	p.Next(start)
+	p.Decide(start)
 	mustSubmit(t, p, request("2", "quick"))
-	p.Next(start)
+	p.Decide(start)
 	deadline := p.Deadline(start)
 	if deadline.IsZero() {
 		t.Fatal("Deadline is zero while a request waits")
 	}
 	at := start.Add(20 * time.Second)
-	events := p.Next(at)
+	events := p.Decide(at)
 	if len(events) != 1 || events[0].Refused == nil || events[0].Refused.Reason != refusal.GaveUpWaiting {
 		t.Fatalf("Next = %+v, want request 2 refused", events)
 	}
@@ -94,7 +94,7 @@
 	for i := range 3 {
 		mustSubmit(t, p, request(strconv.Itoa(i), "quick"))
 	}
-	for _, event := range p.Next(start) {
+	for _, event := range p.Decide(start) {
 		if event.Replica == nil || event.Replica.Name != "b" {
 			t.Errorf("event %+v, want a binding to b", event)
 		}
@@ -112,16 +112,16 @@
 	retry.Attempt = 2
 	retry.Avoid = []string{"a"}
 	mustSubmit(t, p, retry)
-	events := p.Next(start)
+	events := p.Decide(start)
 	if len(events) != 1 || events[0].Replica.Name != "b" {
 		t.Fatalf("Next = %+v, want a binding to b", events)
 	}
 	retry.ID = "2"
 	mustSubmit(t, p, retry)
-	if events := p.Next(start); len(events) != 0 {
+	if events := p.Decide(start); len(events) != 0 {
 		t.Fatalf("Next = %+v, want request 2 to wait for b", events)
 	}
-	events = p.Next(start.Add(time.Minute))
+	events = p.Decide(start.Add(time.Minute))
 	if len(events) != 1 || events[0].Refused == nil || events[0].Refused.Outcome != refusal.Unknown {
 		t.Errorf("Next = %+v, want a refusal with outcome %s", events, refusal.Unknown)
 	}
@@ -131,7 +131,7 @@
 	p := testPool(1, "a")
 	mustSubmit(t, p, request("1", "quick"))
 	p.Cancel(start, "1")
-	if events := p.Next(start); len(events) != 0 {
+	if events := p.Decide(start); len(events) != 0 {
 		t.Errorf("Next = %+v, want nothing", events)
 	}
 	if got := p.Stats(start).Cancelled; got != 1 {
--- a/internal/router/pool_zone_test.go
+++ b/internal/router/pool_zone_test.go
@@ -50,7 +50,7 @@
 	r := request(strconv.FormatUint(seed, 10), "quick")
 	r.Avoid = avoid
 	mustSubmit(t, p, r)
-	events := p.Next(start)
+	events := p.Decide(start)
 	if len(events) != 1 || events[0].Replica == nil {
 		t.Fatalf("Next = %+v, want one binding", events)
 	}
--- a/internal/router/replica.go
+++ b/internal/router/replica.go
@@ -13,8 +13,8 @@
 	Leaving bool
 }
 
-// Load is a replica's own report.
-type Load struct {
+// LoadReport is a replica's own report.
+type LoadReport struct {
 	Running int
 	Waiting int
 	Slots   int
--- a/internal/router/replica_state.go
+++ b/internal/router/replica_state.go
@@ -20,7 +20,7 @@
 	// allowance is the number of slots given by the replica's owner;
 	// negative where only this node's limit counts.
 	allowance int
-	report    Load
+	report    LoadReport
 	// circuit keeps requests off a replica that fails at once.
 	circuit  circuit.Breaker
 	learned  *concurrency.Limit
--- a/internal/router/routertest/clairvoyant.go
+++ b/internal/router/routertest/clairvoyant.go
@@ -42,27 +42,27 @@
 	return nil
 }
 
-// Next implements decider.
-func (c *clairvoyant) Next(now time.Time) []router.Event {
-	var events []router.Event
+// Decide implements decider.
+func (c *clairvoyant) Decide(now time.Time) []router.Decision {
+	var events []router.Decision
 	free := c.free()
 	for tier := range c.tiers {
 		events = c.refuseUseless(now, tier, events)
 		for len(free) > 0 && len(c.tiers[tier]) > 0 {
 			j := c.take(now, tier)
-			events = append(events, router.Event{ID: j.request.ID, Replica: &router.Replica{Name: free[0]}})
+			events = append(events, router.Decision{ID: j.request.ID, Replica: &router.Replica{Name: free[0]}})
 			free = free[1:]
 		}
 	}
 	return events
 }
 
-func (c *clairvoyant) refuseUseless(now time.Time, tier int, events []router.Event) []router.Event {
+func (c *clairvoyant) refuseUseless(now time.Time, tier int, events []router.Decision) []router.Decision {
 	c.tiers[tier] = slices.DeleteFunc(c.tiers[tier], func(j *job) bool {
 		useless := now.Add(service(j)).After(j.request.GiveUpAt)
 		if useless {
 			refused := refusal.New(refusal.TooLate, "queue", "")
-			events = append(events, router.Event{ID: j.request.ID, Refused: refused})
+			events = append(events, router.Decision{ID: j.request.ID, Refused: refused})
 		}
 		return useless
 	})
@@ -94,14 +94,14 @@
 	return names
 }
 
-// FirstToken implements decider.
-func (c *clairvoyant) FirstToken(time.Time, string) {}
+// RecordFirstToken implements decider.
+func (c *clairvoyant) RecordFirstToken(time.Time, string) {}
 
-// Tokens implements decider.
-func (c *clairvoyant) Tokens(time.Time, string, int) {}
+// RecordTokens implements decider.
+func (c *clairvoyant) RecordTokens(time.Time, string, int) {}
 
 // Finish implements decider.
 func (c *clairvoyant) Finish(time.Time, string, router.Result) {}
 
-// Report implements decider.
-func (c *clairvoyant) Report(time.Time, string, router.Load) {}
+// RecordLoad implements decider.
+func (c *clairvoyant) RecordLoad(time.Time, string, router.LoadReport) {}
--- a/internal/router/routertest/compare_test.go
+++ b/internal/router/routertest/compare_test.go
@@ -24,7 +24,7 @@
 func scenario(p policy, pools int, load float64) Scenario {
 	return Scenario{
 		Name: p.name, Seed: compareSeed, Pools: pools, Replicas: 20, Slots: Knee / pools,
-		Load: load, Duration: checkDuration, Without: p.without,
+		Load: load, Duration: checkDuration, Disabled: p.without,
 	}
 }
 
@@ -37,12 +37,12 @@
 // The policies that are compared; each adds to the one before.
 var (
 	baseline  = policy{"baseline", router.Baseline}
-	slack     = policy{"slack", router.Features{MinShare: true, Estimates: true, Admission: true, FairShare: true, Limits: true, Stragglers: true, ExpectedFinish: true}}
-	fair      = policy{"and fair share", router.Features{MinShare: true, Estimates: true, Admission: true, Limits: true, Stragglers: true, ExpectedFinish: true}}
-	share     = policy{"and minimum share", router.Features{Estimates: true, Admission: true, Limits: true, Stragglers: true, ExpectedFinish: true}}
-	estimates = policy{"and estimates", router.Features{Limits: true, Stragglers: true, ExpectedFinish: true}}
-	straggler = policy{"and stragglers", router.Features{Limits: true, ExpectedFinish: true}}
-	finish    = policy{"and expected finish", router.Features{Limits: true}}
+	slack     = policy{"slack", router.Features{MinShare: true, LengthEstimates: true, Admission: true, FairShare: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
+	fair      = policy{"and fair share", router.Features{MinShare: true, LengthEstimates: true, Admission: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
+	share     = policy{"and minimum share", router.Features{LengthEstimates: true, Admission: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
+	estimates = policy{"and estimates", router.Features{AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
+	straggler = policy{"and stragglers", router.Features{AdaptiveLimits: true, ExpectedFinish: true}}
+	finish    = policy{"and expected finish", router.Features{AdaptiveLimits: true}}
 	all       = policy{"and learned limits", router.Features{}}
 )
 
@@ -55,7 +55,7 @@
 
 // BenchmarkTableLoad prints the policies at one and eight pools.
 func BenchmarkTableLoad(_ *testing.B) {
-	fmt.Println("\n" + TableHead)
+	fmt.Println("\n" + TableHeader)
 	for _, pools := range []int{1, 8} {
 		for _, load := range []float64{0.7, 1.0, 1.5, 2.0} {
 			for _, p := range []policy{baseline, slack, fair, share, estimates, straggler, finish, all} {
@@ -68,7 +68,7 @@
 
 // BenchmarkTableStragglers prints the policies without and with stragglers.
 func BenchmarkTableStragglers(_ *testing.B) {
-	fmt.Println("\n" + TableHead)
+	fmt.Println("\n" + TableHeader)
 	for _, pools := range []int{1, 8} {
 		for _, load := range []float64{0.7, 1.0, 2.0} {
 			for _, p := range []policy{baseline, estimates, straggler, finish, all} {
@@ -77,7 +77,7 @@
 				s.Stragglers = stragglers
 				s.Name += ", 2 stragglers"
 				with := printRow(s)
-				fmt.Printf("quick p99 ratio %.2f\n", with.Classes[0].Quantile(0.99)/without.Classes[0].Quantile(0.99))
+				fmt.Printf("quick p99 ratio %.2f\n", with.Classes[0].LatencyQuantile(0.99)/without.Classes[0].LatencyQuantile(0.99))
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 
 // BenchmarkTableLimits prints fixed and learned limits by the slots to start with.
 func BenchmarkTableLimits(_ *testing.B) {
-	fmt.Println("\n" + TableHead)
+	fmt.Println("\n" + TableHeader)
 	for _, load := range []float64{1.0, 2.0} {
 		for _, slots := range []int{2, 4, 8, 16} {
 			for _, p := range []policy{finish, all} {
@@ -101,12 +101,12 @@
 // BenchmarkTableHasty prints what refusing the hopeless is worth where one
 // request in five is of use for a short time only.
 func BenchmarkTableHasty(_ *testing.B) {
-	fmt.Println("\n" + TableHead)
+	fmt.Println("\n" + TableHeader)
 	for _, pools := range []int{1, 8} {
 		for _, load := range []float64{1.0, 2.0} {
 			for _, p := range []policy{{"all hopeful", router.Features{Admission: true}}, all} {
 				s := scenario(p, pools, load)
-				s.Hasty = 0.2
+				s.ShortTimeoutFraction = 0.2
 				printRow(s)
 			}
 		}
@@ -125,7 +125,7 @@
 	if got := o.Goodput() / best.Goodput(); got < 0.95 {
 		t.Errorf("goodput = %.3f of the clairvoyant's, want at least 0.95", got)
 	}
-	if got := o.Wasted(); got > 0.035 {
+	if got := o.WastedFraction(); got > 0.035 {
 		t.Errorf("wasted = %.3f, want at most 0.035", got)
 	}
 	for _, class := range o.Classes {
@@ -142,7 +142,7 @@
 	without := Run(s)
 	s.Stragglers = stragglers
 	with := Run(s)
-	ratio := with.Classes[0].Quantile(0.99) / without.Classes[0].Quantile(0.99)
+	ratio := with.Classes[0].LatencyQuantile(0.99) / without.Classes[0].LatencyQuantile(0.99)
 	if ratio > 1.5 {
 		t.Errorf("p99 with stragglers = %.2f of that without, want at most 1.5", ratio)
 	}
@@ -156,7 +156,7 @@
 	if got := o.Classes[0].Attainment(); got < 0.95 {
 		t.Errorf("quick on target = %.3f, want at least 0.95", got)
 	}
-	if got := o.Wasted(); got > 0.035 {
+	if got := o.WastedFraction(); got > 0.035 {
 		t.Errorf("wasted = %.3f, want at most 0.035", got)
 	}
 }
--- a/internal/router/routertest/engine.go
+++ b/internal/router/routertest/engine.go
@@ -70,6 +70,6 @@
 	return moved
 }
 
-func (e *engine) load(now time.Time) router.Load {
-	return router.Load{Running: len(e.running), Slots: Knee, At: now}
+func (e *engine) load(now time.Time) router.LoadReport {
+	return router.LoadReport{Running: len(e.running), Slots: Knee, At: now}
 }
--- a/internal/router/routertest/outcome.go
+++ b/internal/router/routertest/outcome.go
@@ -13,8 +13,8 @@
 	// WastedTokens all others.
 	GoodTokens   int
 	WastedTokens int
-	// InTime is the part of GoodTokens that came while requests arrived.
-	InTime int
+	// GoodTokensDuringArrivals is the part of GoodTokens that came while requests arrived.
+	GoodTokensDuringArrivals int
 	// Refused counts the refusals, RefusedWait adds up how long the refused
 	// waited, as a part of the time after which they give up.
 	Refused     int
@@ -29,9 +29,9 @@
 	Offered  int
 	Answered int
 	OnTarget int
-	// CutOff requests ran when their caller gave up.
-	CutOff  int
-	Refused map[refusal.Reason]int
+	// TimedOut requests ran when their caller gave up.
+	TimedOut int
+	Refused  map[refusal.Reason]int
 	// longest is the time after which the class's callers give up.
 	longest float64
 	// seconds from arrival to the whole answer, of the answered ones.
@@ -43,9 +43,9 @@
 	return float64(c.OnTarget) / float64(max(c.Offered, 1))
 }
 
-// Quantile returns the answer time in seconds, of all offered requests; those
+// LatencyQuantile returns the answer time in seconds, of all offered requests; those
 // that were not answered count as the longest time.
-func (c *ClassOutcome) Quantile(q float64) float64 {
+func (c *ClassOutcome) LatencyQuantile(q float64) float64 {
 	slices.Sort(c.seconds)
 	i := int(q * float64(c.Offered-1))
 	if i < len(c.seconds) {
@@ -57,10 +57,10 @@
 // Goodput is the good tokens that came while requests arrived, as a part of
 // the capacity.
 func (o *Outcome) Goodput() float64 {
-	return float64(o.InTime) / o.Capacity
+	return float64(o.GoodTokensDuringArrivals) / o.Capacity
 }
 
-// Wasted is the wasted tokens as a part of all tokens generated.
-func (o *Outcome) Wasted() float64 {
+// WastedFraction is the wasted tokens as a part of all tokens generated.
+func (o *Outcome) WastedFraction() float64 {
 	return float64(o.WastedTokens) / float64(max(o.WastedTokens+o.GoodTokens, 1))
 }
--- a/internal/router/routertest/run.go
+++ b/internal/router/routertest/run.go
@@ -34,7 +34,7 @@
 type lateReport struct {
 	due     time.Time
 	replica string
-	load    router.Load
+	load    router.LoadReport
 }
 
 // Run carries out the scenario and returns what it measured.
@@ -66,7 +66,7 @@
 	}
 	for i := range s.Pools {
 		r.deciders = append(r.deciders, router.NewPool(router.Options{
-			Upstream: "llm", Classes: classes(), Replicas: replicas, Without: s.Without,
+			Upstream: "llm", Classes: classes(), Replicas: replicas, Disabled: s.Disabled,
 			Rand: rand.New(rand.NewPCG(s.Seed, uint64(i)+2)),
 		}))
 	}
@@ -80,7 +80,7 @@
 	r.cutOff(now)
 	r.submit(now)
 	for _, d := range r.deciders {
-		r.apply(now, d.Next(now))
+		r.apply(now, d.Decide(now))
 	}
 }
 
@@ -105,7 +105,7 @@
 	}
 	for len(r.reports) > 0 && !r.reports[0].due.After(now) {
 		for _, d := range r.deciders {
-			d.Report(now, r.reports[0].replica, r.reports[0].load)
+			d.RecordLoad(now, r.reports[0].replica, r.reports[0].load)
 		}
 		r.reports = r.reports[1:]
 	}
@@ -130,11 +130,11 @@
 	d := r.decider(j)
 	fresh := int(j.made) - j.told
 	if j.told == 0 {
-		d.FirstToken(now, j.request.ID)
+		d.RecordFirstToken(now, j.request.ID)
 		fresh--
 	}
 	if fresh > 0 {
-		d.Tokens(now, j.request.ID, fresh)
+		d.RecordTokens(now, j.request.ID, fresh)
 	}
 	j.told = int(j.made)
 	if j.whole() {
@@ -146,7 +146,7 @@
 	r.end(now, j, router.ResultDone)
 	r.outcome.GoodTokens += j.length
 	if now.Sub(start) <= r.scenario.Duration {
-		r.outcome.InTime += j.length
+		r.outcome.GoodTokensDuringArrivals += j.length
 	}
 	class := &r.outcome.Classes[j.class]
 	class.Answered++
@@ -175,7 +175,7 @@
 	for _, j := range late {
 		r.end(now, j, router.ResultCancelled)
 		r.outcome.WastedTokens += j.told
-		r.outcome.Classes[j.class].CutOff++
+		r.outcome.Classes[j.class].TimedOut++
 	}
 }
 
@@ -198,7 +198,7 @@
 	r.outcome.Classes[j.class].Refused[refused.Reason]++
 }
 
-func (r *run) apply(now time.Time, events []router.Event) {
+func (r *run) apply(now time.Time, events []router.Decision) {
 	for _, event := range events {
 		j := r.jobs[event.ID]
 		if event.Refused != nil {
--- a/internal/router/routertest/scenario.go
+++ b/internal/router/routertest/scenario.go
@@ -18,11 +18,11 @@
 	Slots int
 	// Load is the offered slot time as a multiple of the capacity at the knee.
 	Load float64
-	// QuickBurst multiplies the quick class's arrivals; zero means 1.
-	QuickBurst float64
-	// Hasty is the part of the requests whose callers wait only a twentieth
+	// QuickLoadFactor multiplies the quick class's arrivals; zero means 1.
+	QuickLoadFactor float64
+	// ShortTimeoutFraction is the part of the requests whose callers wait only a twentieth
 	// of their class's time.
-	Hasty float64
+	ShortTimeoutFraction float64
 	// Duration of the arrivals; the run ends when all requests have ended.
 	Duration time.Duration
 	// Stragglers are this many replicas that are ten times slower.
@@ -31,8 +31,8 @@
 	// StragglersUntil is never ended.
 	StragglersFrom  time.Duration
 	StragglersUntil time.Duration
-	// Without takes proposals out of the pools.
-	Without router.Features
+	// Disabled takes proposals out of the pools.
+	Disabled router.Features
 	// Clairvoyant runs the order of known lengths in place of the pools.
 	Clairvoyant bool
 }
--- a/internal/router/routertest/table.go
+++ b/internal/router/routertest/table.go
@@ -17,10 +17,10 @@
 		c := &o.Classes[i]
 		fmt.Fprintf(&b, " %.3f |", float64(c.Answered)/float64(max(c.Offered, 1)))
 	}
-	fmt.Fprintf(&b, " %.2f | %.3f | %.3f | %.2f |", o.Classes[0].Quantile(0.99), o.Goodput(), o.Wasted(), o.RefusedWait/float64(max(o.Refused, 1)))
+	fmt.Fprintf(&b, " %.2f | %.3f | %.3f | %.2f |", o.Classes[0].LatencyQuantile(0.99), o.Goodput(), o.WastedFraction(), o.RefusedWait/float64(max(o.Refused, 1)))
 	return b.String()
 }
 
-// TableHead is the head of the table whose rows are Outcome.Row.
-const TableHead = `| policy | pools | load | quick on target | draft on target | review on target | quick answered | draft answered | review answered | quick p99 s | goodput | wasted | refused after |
+// TableHeader is the head of the table whose rows are Outcome.Row.
+const TableHeader = `| policy | pools | load | quick on target | draft on target | review on target | quick answered | draft answered | review answered | quick p99 s | goodput | wasted | refused after |
 |---|---|---|---|---|---|---|---|---|---|---|---|---|`
--- a/internal/router/routertest/workload.go
+++ b/internal/router/routertest/workload.go
@@ -80,8 +80,8 @@
 	var jobs []*job
 	for class, p := range profiles {
 		load := s.Load
-		if class == 0 && s.QuickBurst > 0 {
-			load *= s.QuickBurst
+		if class == 0 && s.QuickLoadFactor > 0 {
+			load *= s.QuickLoadFactor
 		}
 		rate := p.rate(load, s.Replicas*Knee)
 		at := source.ExpFloat64() / rate
@@ -100,7 +100,7 @@
 	p := profiles[class]
 	arrived := start.Add(time.Duration(at * float64(time.Second)))
 	workspace := int(float64(workspaces) * math.Pow(source.Float64(), 2))
-	hasty := source.Float64() < s.Hasty
+	hasty := source.Float64() < s.ShortTimeoutFraction
 	answerBy := arrived.Add(p.class.TargetAnswer.Std())
 	giveUpAt := arrived.Add(p.class.GiveUpAfter.Std())
 	if hasty {
--- a/internal/router/stats.go
+++ b/internal/router/stats.go
@@ -33,7 +33,7 @@
 	Limit int
 	// Leaving replicas get nothing new.
 	Leaving bool
-	// Straggler is the replica's time between tokens as a multiple of the
+	// Slowness is the replica's time between tokens as a multiple of the
 	// pool's usual one; 1 is usual, 0 is not known.
-	Straggler float64
+	Slowness float64
 }
