--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -165,7 +165,7 @@
 func (d *duties) observe() []autoscale.Observation {
 	n := d.node
 	snapshot := n.routes.Get()
-	if snapshot.Table == nil || !n.replicas.Known() {
+	if snapshot.Table == nil || !n.replicas.HasListing() {
 		return nil
 	}
 	_, readAt := n.replicas.Latest()
@@ -184,7 +184,7 @@
 	if u.Engine != nil {
 		o.Slots = u.Engine.Slots
 	}
-	replicas := d.node.replicas.Of(u.Name)
+	replicas := d.node.replicas.ForUpstream(u.Name)
 	for _, name := range u.Scaling.Zones() {
 		o.Zones = append(o.Zones, autoscale.CountZone(name, ofZone(replicas, name)))
 	}
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -223,7 +223,7 @@
 	age := n.options.Clock().Sub(readAt)
 	for _, c := range changes {
 		n.log.Write(&replicaChanged{change: c, revision: listing.Revision, age: age})
-		if c.Kind == replica.Gone {
+		if c.Kind == replica.Removed {
 			n.conns.Forget(c.Replica.ID)
 			n.rates.forget(c.Replica.ID)
 		}
--- a/internal/edge/questions.go
+++ b/internal/edge/questions.go
@@ -16,7 +16,7 @@
 // Ready says whether callers should be sent here.
 func (n *Node) Ready() bool {
 	snapshot := n.routes.Get()
-	if snapshot.Table == nil || !n.replicas.Known() || n.leaving.Load() {
+	if snapshot.Table == nil || !n.replicas.HasListing() || n.leaving.Load() {
 		return false
 	}
 	return snapshot.Age(n.options.Clock()) < readyAge
--- a/internal/edge/rates.go
+++ b/internal/edge/rates.go
@@ -21,7 +21,7 @@
 	n := r.node
 	exchange := ratelimit.NewExchange(ratelimit.Options{
 		Table: r.limits, Issuer: r.issuer, Self: n.options.Settings.Name,
-		IssuerOf: r.issuerOf, Share: n.sync.HeardShare, Known: n.replicas.Has, Clients: n.clients, Registry: n.registry,
+		IssuerOf: r.issuerOf, Share: n.sync.HeardShare, Known: n.replicas.HasProcess, Clients: n.clients, Registry: n.registry,
 	})
 	n.peers.Mount(exchange.Handler())
 	r.permits.SetAsk(exchange.Ask)
--- a/internal/edge/reader.go
+++ b/internal/edge/reader.go
@@ -179,7 +179,7 @@
 
 // registrations are those of the replicas.
 func (r *reader) registrations() record {
-	return record{name: "replicas", age: r.replicasAge, known: r.replicas.Known, read: r.readReplicas, bound: r.leaveWithin}
+	return record{name: "replicas", age: r.replicasAge, known: r.replicas.HasListing, read: r.readReplicas, bound: r.leaveWithin}
 }
 
 // routesAge is the time since the routing table was known to be the newest.
@@ -224,6 +224,6 @@
 	if err != nil {
 		r.log.Error("decode registrations", err)
 	}
-	r.listed(r.replicas.Take(listing, began, r.clock()))
+	r.listed(r.replicas.Update(listing, began, r.clock()))
 	return nil
 }
--- a/internal/enginespeed/reading.go
+++ b/internal/enginespeed/reading.go
@@ -25,9 +25,9 @@
 	steadyAfter = 10.0
 )
 
-// Reading is the estimate of the time to the first token. It is for one goroutine
+// Estimator is the estimate of the time to the first token. It is for one goroutine
 // at a time.
-type Reading struct {
+type Estimator struct {
 	// perToken is the time for one prompt token, first that which every answer
 	// takes, both in milliseconds; zero: not set yet.
 	perToken float64
@@ -35,12 +35,12 @@
 	answers  float64
 }
 
-// NewReading returns the estimate for an engine of which nothing is known.
-func NewReading() *Reading { return &Reading{perToken: initialPerToken, first: initialFirst} }
+// NewEstimator returns the estimate for an engine of which nothing is known.
+func NewEstimator() *Estimator { return &Estimator{perToken: initialPerToken, first: initialFirst} }
 
 // Observe takes in an answer that began after took, and before which the replica
 // had to read so many tokens.
-func (r *Reading) Observe(tokens int, took time.Duration) {
+func (r *Estimator) Observe(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
@@ -56,16 +56,16 @@
 	r.answers++
 }
 
-// Time is the time in which a replica reads the tokens.
-func (r *Reading) Time(tokens int) time.Duration {
-	return time.Duration(r.Milliseconds(tokens) * float64(time.Millisecond))
+// PrefillTime is the time in which a replica reads the tokens.
+func (r *Estimator) PrefillTime(tokens int) time.Duration {
+	return time.Duration(r.PrefillMS(tokens) * float64(time.Millisecond))
 }
 
-// Milliseconds is Time as a number.
-func (r *Reading) Milliseconds(tokens int) float64 { return r.perToken * float64(tokens) }
+// PrefillMS is Time as a number.
+func (r *Estimator) PrefillMS(tokens int) float64 { return r.perToken * float64(tokens) }
 
 // TokensPerMS is the speed.
-func (r *Reading) TokensPerMS() float64 { return 1 / r.perToken }
+func (r *Estimator) TokensPerMS() float64 { return 1 / r.perToken }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
--- a/internal/enginespeed/reading_test.go
+++ b/internal/enginespeed/reading_test.go
@@ -33,13 +33,13 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5) {
 				random := rand.New(rand.NewPCG(seed, 1))
-				r := NewReading()
+				r := NewEstimator()
 				for range 200 {
 					tokens := prompts(random)
 					r.Observe(tokens, e.answer(tokens, 0.8+0.4*random.Float64()))
 				}
 				for _, tokens := range []int{500, 3000, 20_000} {
-					got := time.Duration(r.first*float64(time.Millisecond)) + r.Time(tokens)
+					got := time.Duration(r.first*float64(time.Millisecond)) + r.PrefillTime(tokens)
 					want := e.answer(tokens, 1)
 					if ratio := float64(got) / float64(want); ratio < 0.7 || ratio > 1.4 {
 						t.Errorf("seed %d: %s expected for %d tokens, they take %s", seed, got, tokens, want)
@@ -52,7 +52,7 @@
 
 func TestASlowEngineIsNoticedWithinAFewAnswers(t *testing.T) {
 	slow := engine{15, 30}
-	r := NewReading()
+	r := NewEstimator()
 	for range 10 {
 		r.Observe(8000, slow.answer(8000, 1))
 	}
@@ -66,7 +66,7 @@
 func TestOddAnswersDoNotMoveTheSpeed(t *testing.T) {
 	e := engine{50, 20}
 	random := rand.New(rand.NewPCG(1, 1))
-	r := NewReading()
+	r := NewEstimator()
 	for i := range 2000 {
 		tokens := prompts(random)
 		took := e.answer(tokens, 0.8+0.4*random.Float64())
@@ -84,7 +84,7 @@
 }
 
 func TestNoAnswerLeavesFiguresFromWhichThereIsNoWayBack(t *testing.T) {
-	r := NewReading()
+	r := NewEstimator()
 	for range 100_000 {
 		r.Observe(1, time.Hour)
 	}
--- a/internal/estimate/lengths.go
+++ b/internal/estimate/lengths.go
@@ -73,8 +73,8 @@
 	return s
 }
 
-// SetClasses forgets the sketches of classes that are no longer known.
-func (l *Lengths) SetClasses(known func(class string) bool) {
+// RetainClasses forgets the sketches of classes that are no longer known.
+func (l *Lengths) RetainClasses(known func(class string) bool) {
 	for class := range l.classes {
 		if !known(class) {
 			delete(l.classes, class)
--- a/internal/estimate/speed.go
+++ b/internal/estimate/speed.go
@@ -12,9 +12,9 @@
 	token   float64
 }
 
-// Prefill takes in the time from binding to the first token of a prompt that
+// ObservePrefill takes in the time from binding to the first token of a prompt that
 // was not cached.
-func (s *Speed) Prefill(promptTokens int, took time.Duration) {
+func (s *Speed) ObservePrefill(promptTokens int, took time.Duration) {
 	if promptTokens <= 0 {
 		return
 	}
@@ -26,12 +26,12 @@
 	s.prefill += speedWeight * (observed - s.prefill)
 }
 
-// SetToken sets the time between tokens in seconds.
-func (s *Speed) SetToken(seconds float64) { s.token = seconds }
+// SetTokenTime sets the time between tokens in seconds.
+func (s *Speed) SetTokenTime(seconds float64) { s.token = seconds }
 
-// Service estimates the time for a prompt and an answer of the given lengths;
+// ServiceTime estimates the time for a prompt and an answer of the given lengths;
 // zero while nothing was seen.
-func (s *Speed) Service(promptTokens int, answerTokens float64) time.Duration {
+func (s *Speed) ServiceTime(promptTokens int, answerTokens float64) time.Duration {
 	seconds := s.prefill*float64(promptTokens) + s.token*answerTokens
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/fleetsim/engine.go
+++ b/internal/fleetsim/engine.go
@@ -68,7 +68,7 @@
 }
 
 // holds is the number of leading parts that the engine has read.
-func (e *engine) holds(parts []placement.Part) int {
+func (e *engine) holds(parts []placement.PromptPart) int {
 	for i, part := range parts {
 		if !e.cache[part.ID] {
 			return i
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -77,7 +77,7 @@
 		f.byID[e.id] = e
 	}
 	replicas := replica.NewSet()
-	replicas.Take(listing(s, f.engines), 1, 1)
+	replicas.Update(listing(s, f.engines), 1, 1)
 	f.nodes = newNodes(s, replicas)
 	return f
 }
@@ -164,16 +164,16 @@
 	r := placement.Request{
 		Class: c.class.Name, Rank: c.class.Rank,
 		PromptTokens: c.ownTokens, AnswerTokens: c.answerTokens,
-		MemoryTokens: f.scenario.Model.MemoryTokens, CopiesPrompts: f.scenario.Copies,
+		MemoryTokens: f.scenario.Model.MemoryTokens, CanCopyCache: f.scenario.Copies,
 	}
 	if common := c.class.Common; common > 0 {
 		// Sessions share the first part of their prompts with many others.
 		id := c.session>>32<<32 | uint64(1)<<31 | c.session%uint64(common)
-		r.Shared = append(r.Shared, placement.Part{ID: id, Tokens: c.class.CommonTokens})
+		r.Shared = append(r.Shared, placement.PromptPart{ID: id, Tokens: c.class.CommonTokens})
 		r.PromptTokens += c.class.CommonTokens
 	}
 	if c.session != 0 {
-		r.Shared = append(r.Shared, placement.Part{ID: c.session, Tokens: c.class.SharedTokens})
+		r.Shared = append(r.Shared, placement.PromptPart{ID: c.session, Tokens: c.class.SharedTokens})
 		r.PromptTokens += c.class.SharedTokens
 	}
 	return r
@@ -209,7 +209,7 @@
 	for _, j := range f.jobs {
 		switch {
 		case j.broken:
-			j.attempt.End(at, placement.Broken)
+			j.attempt.End(at, placement.Interrupted)
 			j.call.settle(failed)
 			continue
 		case now > j.call.deadline:
@@ -218,7 +218,7 @@
 			continue
 		case j.firstAt > 0 && j.firstAt <= now && !j.heard:
 			j.heard = true
-			j.attempt.Begun(at)
+			j.attempt.AnswerStarted(at)
 		}
 		if j.whole() && j.lastAt <= now {
 			j.attempt.End(at, placement.Answered)
@@ -256,7 +256,7 @@
 
 // tell gives one node's news to another.
 func tell(from, to *node, alive int, at time.Time) {
-	to.placer.SetPeer(from.name, from.placer.Loads(at), false, alive, at)
+	to.placer.SetPeerLoads(from.name, from.placer.Loads(at), false, alive, at)
 	to.placer.SetPlacements(from.placer.Placements(at, time.Time{}), false, at)
 }
 
--- a/internal/fleetsim/hubs.go
+++ b/internal/fleetsim/hubs.go
@@ -32,7 +32,7 @@
 	var total map[string]placement.Load
 	for _, n := range f.nodes {
 		s.own[n] = n.placer.Loads(at)
-		total = placement.AddUp(total, s.own[n])
+		total = placement.SumLoads(total, s.own[n])
 		s.placements = append(s.placements, n.placer.Placements(at, time.Time{})...)
 	}
 	for _, l := range total {
@@ -51,6 +51,6 @@
 	}
 	s := &f.sums[0]
 	at := epoch.Add(now)
-	n.placer.SetFleet(s.fleet, s.own[n], at)
+	n.placer.SetFleetLoads(s.fleet, s.own[n], at)
 	n.placer.SetPlacements(s.placements, false, at)
 }
--- a/internal/fleetsim/job.go
+++ b/internal/fleetsim/job.go
@@ -12,7 +12,7 @@
 	attempt      *placement.Attempt
 	rank         int
 	promptTokens int
-	shared       []placement.Part
+	shared       []placement.PromptPart
 	answerTokens int
 	// toRead is the prompt tokens that are left to read; justRead says that the last
 	// of them was read in this step.
--- a/internal/fleetsim/limits.go
+++ b/internal/fleetsim/limits.go
@@ -42,7 +42,7 @@
 	if asked := n.permits.Acquire(context.Background(), at, &a.Replica); !asked.Given() {
 		return false
 	}
-	a.Permitted(at)
+	a.PermitGranted(at)
 	return true
 }
 
@@ -50,6 +50,6 @@
 func (n *node) admit(at time.Time, c *call, left time.Duration, choice *placement.Choice) overload.Verdict {
 	return n.gates.Of(upstream).Decide(at, overload.Request{
 		Rank: c.class.Rank, Objective: c.class.Objective, Left: left,
-		Ahead: choice.Wait - choice.Own, Own: choice.Own, MemoryUsed: choice.Used,
+		Ahead: choice.FirstTokenTime - choice.OwnPrefill, Own: choice.OwnPrefill, MemoryUsed: choice.MemoryFraction,
 	})
 }
--- a/internal/fleetsim/node.go
+++ b/internal/fleetsim/node.go
@@ -33,7 +33,7 @@
 		n.permits = ratelimit.NewPermits(n.limits)
 		n.placer.SetPermits(n.permits)
 		if s.SeeAll {
-			n.placer.SeeAll()
+			n.placer.ConsiderAllReplicas()
 		}
 		nodes[i] = n
 	}
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -82,7 +82,7 @@
 func (e *exchange) admit(c *placement.Choice) overload.Verdict {
 	return e.forwarder.gates.Of(e.call.Upstream).Decide(time.Now(), overload.Request{
 		Rank: e.call.Rank, Objective: e.call.Route.Objective, Left: time.Until(e.call.Deadline),
-		Ahead: c.Wait - c.Own, Own: c.Own, MemoryUsed: c.Used,
+		Ahead: c.FirstTokenTime - c.OwnPrefill, Own: c.OwnPrefill, MemoryUsed: c.MemoryFraction,
 	})
 }
 
@@ -107,7 +107,7 @@
 	return &Failure{
 		Result: placement.Cancelled, NotRun: true, Step: stepChoose, Peer: place.Replica.Address, RetryAfter: v.RetryAfter,
 		Cause: fmt.Errorf("%w (%s): %s expected at the best of %d replicas, memory used %.2f, %d requests there",
-			errOverloaded, v.Reason, c.Wait.Round(time.Millisecond), c.Among, c.Used, c.Running),
+			errOverloaded, v.Reason, c.FirstTokenTime.Round(time.Millisecond), c.Candidates, c.MemoryFraction, c.Running),
 	}
 }
 
@@ -239,7 +239,7 @@
 // failed is the failure of an attempt whose connection or answer went wrong.
 func (a *attempt) failed(step string, cause error) *Failure {
 	f := &Failure{
-		Result:  placement.Broken,
+		Result:  placement.Interrupted,
 		Arrived: a.conn.Sent(),
 		NotRun:  !a.conn.Sent(),
 		Step:    step,
@@ -254,11 +254,11 @@
 	// Where this side closed the connection, the reason for it is the cause.
 	switch {
 	case a.impatient.Load():
-		f.Result, f.Cause, f.Prepaid = placement.Silent, errSilent, true
+		f.Result, f.Cause, f.Prepaid = placement.TimedOut, errSilent, true
 	case a.exchange.caller.Err() != nil:
 		f.Result, f.Cause = placement.Cancelled, errCallerGone
 	case a.exchange.ctx.Err() != nil && a.exchange.firstByte.IsZero():
-		f.Result, f.Cause = placement.Silent, errDeadline
+		f.Result, f.Cause = placement.TimedOut, errDeadline
 	case a.exchange.ctx.Err() != nil:
 		f.Result, f.Cause = placement.Cancelled, errDeadline
 	}
@@ -309,7 +309,7 @@
 	if err != nil {
 		return a.failed(stepBody, err)
 	}
-	a.place.Responded(time.Now())
+	a.place.ErrorReceived(time.Now())
 	a.exchange.ran()
 	return &Failure{
 		Result: placement.Errored, Arrived: true, Step: stepAnswer, Peer: a.place.Replica.Address,
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -46,7 +46,7 @@
 
 // placementRequest is what a choice of a replica needs to know.
 func (c *Call) placementRequest() placement.Request {
-	r := placement.Request{Class: c.Route.Name, Rank: c.Rank, PromptTokens: c.Prompt.Tokens, MemoryTokens: c.MemoryTokens, CopiesPrompts: c.CopiesPrompts, AnswerTokens: c.Prompt.AnswerHint}
+	r := placement.Request{Class: c.Route.Name, Rank: c.Rank, PromptTokens: c.Prompt.Tokens, MemoryTokens: c.MemoryTokens, CanCopyCache: c.CopiesPrompts, AnswerTokens: c.Prompt.AnswerHint}
 	if r.AnswerTokens == 0 {
 		r.AnswerTokens = c.Prompt.MaxAnswer
 	}
--- a/internal/forward/codec.go
+++ b/internal/forward/codec.go
@@ -43,7 +43,7 @@
 	// AnswerHint is the caller's estimate of the answer's length; zero: none.
 	AnswerHint int
 	// Parts are the prompt's parts in order; the last is the call's own.
-	Parts []placement.Part
+	Parts []placement.PromptPart
 }
 
 // AttemptHeaders is what the system tells a replica.
--- a/internal/forward/crashes.go
+++ b/internal/forward/crashes.go
@@ -53,7 +53,7 @@
 		c.tracker.Finished(time.Now(), run.Fingerprint)
 		return
 	}
-	if f.Result != placement.Broken || !f.Arrived {
+	if f.Result != placement.Interrupted || !f.Arrived {
 		c.running.Finish(run)
 		return
 	}
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -152,8 +152,8 @@
 		"request": ev.exchange.call.ID, "route": ev.exchange.call.Route.Name, "upstream": ev.exchange.call.Upstream,
 		"replica": ev.place.Replica.ID, "peer": ev.place.Replica.Address, "attempt": ev.exchange.attempts,
 		"rank": ev.exchange.call.Rank, "workspace": ev.exchange.call.workspace(),
-		"cost_ms": int(c.Cost), "wait_ms": c.Wait.Milliseconds(), "memory_used": hundredths(c.Used), "among": c.Among, "running": c.Running, "to_read": c.ToRead, "ahead": c.Ahead,
-		"cached": c.Cached, "copy_from": ev.place.CopyFrom, "failures": hundredths(c.Failures), "read_speed": hundredths(c.ReadSpeed), "replicas_revision": ev.revision,
+		"cost_ms": int(c.Cost), "wait_ms": c.FirstTokenTime.Milliseconds(), "memory_used": hundredths(c.MemoryFraction), "among": c.Candidates, "running": c.Running, "to_read": c.PendingPrefill, "ahead": c.PrefillAhead,
+		"cached": c.CachedTokens, "copy_from": ev.place.CopyFrom, "failures": hundredths(c.FailureScore), "read_speed": hundredths(c.PrefillSpeed), "replicas_revision": ev.revision,
 	}
 	if limit, limited := ev.exchange.forwarder.options.Limits.InForce()[ev.place.Replica.ID]; limited {
 		fields["rate_limit"] = limit.PerSecond
--- a/internal/forward/forwardtest/fleet.go
+++ b/internal/forward/forwardtest/fleet.go
@@ -75,7 +75,7 @@
 		listing.Replicas = append(listing.Replicas, r.Replica)
 	}
 	now := boottime.Instant(f.revision) * boottime.Instant(time.Millisecond)
-	f.Set.Take(listing, now, now)
+	f.Set.Update(listing, now, now)
 }
 
 func (f *Fleet) probe(ctx context.Context, r replica.Replica) error {
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -23,7 +23,7 @@
 // is none, another replica is chosen.
 func (e *exchange) choose() (*placement.Attempt, *Failure) {
 	permitBy := time.Now().Add(permitWait)
-	e.request.WithoutLimited = false
+	e.request.ExcludeRateLimited = false
 	for {
 		place := e.forwarder.options.Placer.Choose(time.Now(), e.call.Upstream, &e.request)
 		if place == nil {
@@ -36,7 +36,7 @@
 			return place, nil
 		}
 		place.End(time.Now(), placement.Cancelled)
-		e.request.WithoutLimited = time.Now().After(permitBy)
+		e.request.ExcludeRateLimited = time.Now().After(permitBy)
 	}
 }
 
@@ -49,7 +49,7 @@
 	if !asked.Given() {
 		return false
 	}
-	place.Permitted(time.Now())
+	place.PermitGranted(time.Now())
 	return true
 }
 
@@ -58,7 +58,7 @@
 	f := &Failure{Result: placement.Cancelled, NotRun: true, Step: stepChoose, Peer: e.call.Upstream, Cause: errNoReplica}
 	now := time.Now()
 	if limited := e.forwarder.options.Placer.RateLimited(now, e.call.Upstream); limited.Replicas > 0 {
-		f.RetryAfter = overload.ReturnAfter(limited.Next.Sub(now), e.call.Deadline.Sub(now))
+		f.RetryAfter = overload.ReturnAfter(limited.NextPermitAt.Sub(now), e.call.Deadline.Sub(now))
 		f.Cause = fmt.Errorf("%w: %d of them, no permit left", errRateLimited, limited.Replicas)
 	}
 	return f
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -27,7 +27,7 @@
 	if !e.call.Route.MayRunAgain() || e.mayHaveRun+1 >= e.call.Route.MaxAttempts {
 		return 0
 	}
-	return max(e.call.Route.Objective, leastPatience) + waitFactor*a.place.Choice.Wait
+	return max(e.call.Route.Objective, leastPatience) + waitFactor*a.place.Choice.FirstTokenTime
 }
 
 // pause is how long a stream's next event is awaited; zero: to the deadline.
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -66,7 +66,7 @@
 		a.begun()
 		e.outlet.start(a.response, -1)
 	} else {
-		a.place.Heard(time.Now())
+		a.place.DataReceived(time.Now())
 	}
 	e.heard(time.Now())
 	a.startSilence(a.pause())
@@ -90,7 +90,7 @@
 // begun notes the first byte of the answer that counts.
 func (a *attempt) begun() {
 	now := time.Now()
-	a.place.Begun(now)
+	a.place.AnswerStarted(now)
 	a.exchange.ran()
 	if a.exchange.firstByte.IsZero() {
 		a.exchange.firstByte = now
--- a/internal/nodesync/bench_test.go
+++ b/internal/nodesync/bench_test.go
@@ -46,9 +46,9 @@
 	hubs := nodes[0].hubs(100 * second)
 	for i, node := range nodes {
 		node.options.SumsFor = DefaultSumsFor
-		node.options.Replicas.Take(listing, 100*second, 100*second)
+		node.options.Replicas.Update(listing, 100*second, 100*second)
 		for session := range 10 {
-			node.options.Placer.Choose(time.Now(), "u", &placement.Request{PromptTokens: 900, Shared: []placement.Part{{ID: uint64(i*10 + session), Tokens: 100}}})
+			node.options.Placer.Choose(time.Now(), "u", &placement.Request{PromptTokens: 900, Shared: []placement.PromptPart{{ID: uint64(i*10 + session), Tokens: 100}}})
 		}
 	}
 	hub, asking = nodes[0], nodes[1]
@@ -58,7 +58,7 @@
 	}
 	for _, node := range nodes {
 		self := node.options.Self()
-		hub.options.Placer.SetPeer(self.Name, node.options.Placer.Loads(time.Now()), hubFor(self, hubs).Name == hub.options.Self().Name, n, time.Now().Add(time.Hour))
+		hub.options.Placer.SetPeerLoads(self.Name, node.options.Placer.Loads(time.Now()), hubFor(self, hubs).Name == hub.options.Self().Name, n, time.Now().Add(time.Hour))
 	}
 	return asking, hub
 }
--- a/internal/nodesync/convert.go
+++ b/internal/nodesync/convert.go
@@ -58,7 +58,7 @@
 	converted := make([]*nodesyncv1.Load, 0, len(loads))
 	for _, l := range loads {
 		converted = append(converted, &nodesyncv1.Load{
-			Replica: l.Replica, Running: int32(l.Running), Prefill: int32(l.Reading.Total()), PrefillByRank: readingToProto(l.Reading), Light: int32(l.Light), Tokens: int32(l.Tokens), Failures: float32(l.Failures),
+			Replica: l.Replica, Running: int32(l.Running), Prefill: int32(l.PrefillBacklog.Total()), PrefillByRank: readingToProto(l.PrefillBacklog), Light: int32(l.RunningShort), Tokens: int32(l.TokensInMemory), Failures: float32(l.FailureScore),
 		})
 	}
 	return converted
@@ -68,14 +68,14 @@
 	converted := make([]placement.Load, 0, len(loads))
 	for _, l := range loads {
 		converted = append(converted, placement.Load{
-			Replica: l.GetReplica(), Running: int(l.GetRunning()), Reading: readingFromProto(l), Light: int(l.GetLight()), Tokens: int(l.GetTokens()), Failures: float64(l.GetFailures()),
+			Replica: l.GetReplica(), Running: int(l.GetRunning()), PrefillBacklog: readingFromProto(l), RunningShort: int(l.GetLight()), TokensInMemory: int(l.GetTokens()), FailureScore: float64(l.GetFailures()),
 		})
 	}
 	return converted
 }
 
 // readingToProto leaves out the zeros at the end.
-func readingToProto(r placement.Reading) []int32 {
+func readingToProto(r placement.PrefillBacklog) []int32 {
 	var told []int32
 	for rank, tokens := range r {
 		if tokens == 0 {
@@ -89,8 +89,8 @@
 
 // readingFromProto takes what is told without ranks for the most urgent one: it is
 // ahead of every request.
-func readingFromProto(l *nodesyncv1.Load) placement.Reading {
-	var r placement.Reading
+func readingFromProto(l *nodesyncv1.Load) placement.PrefillBacklog {
+	var r placement.PrefillBacklog
 	told := l.GetPrefillByRank()
 	if len(told) == 0 {
 		r[0] = int(l.GetPrefill())
--- a/internal/nodesync/hub_loads_test.go
+++ b/internal/nodesync/hub_loads_test.go
@@ -40,7 +40,7 @@
 		if len(answer.GetLoads()) > 0 || len(answer.GetPlacements()) > 0 {
 			t.Errorf("a member answers with loads %v and placements %v", answer.GetLoads(), answer.GetPlacements())
 		}
-		if !other.options.Placer.FleetKnown(time.Now()) || other.options.Placer.FleetKnown(time.Now().Add(time.Hour)) {
+		if !other.options.Placer.HasFleetLoads(time.Now()) || other.options.Placer.HasFleetLoads(time.Now().Add(time.Hour)) {
 			t.Error("the sums of a fleet count for a while")
 		}
 	})
@@ -110,7 +110,7 @@
 			round(t, nodes)
 		}
 		for _, n := range nodes {
-			if got := n.options.Placer.Others(time.Now())["i"]; got != 239 {
+			if got := n.options.Placer.PeersRunning(time.Now())["i"]; got != 239 {
 				t.Errorf("%s counts %d running requests of the other nodes, want 239", n.options.Self().Name, got)
 			}
 		}
--- a/internal/nodesync/hub_test.go
+++ b/internal/nodesync/hub_test.go
@@ -22,7 +22,7 @@
 	for i := range n {
 		zone := fmt.Sprintf("z%d", i%zones)
 		node := newTestNode(fmt.Sprintf("vm-%02d", i), 100*second)
-		node.options.Replicas.Take(listing, 99*second, 99*second)
+		node.options.Replicas.Update(listing, 99*second, 99*second)
 		node.options.Placer = placement.NewPlacer(zone, node.options.Replicas, node.options.Rand)
 		plain := node.options.Self
 		node.options.Self = func() Node {
@@ -88,7 +88,7 @@
 			calls += round(t, nodes)
 		}
 		for _, n := range nodes {
-			sums := n.options.Placer.Others(time.Now())
+			sums := n.options.Placer.PeersRunning(time.Now())
 			if got := sums["i"]; got != 29 {
 				t.Errorf("%s counts %d running requests of the other nodes, want 29", n.options.Self().Name, got)
 			}
--- a/internal/nodesync/listing.go
+++ b/internal/nodesync/listing.go
@@ -12,7 +12,7 @@
 // where that is known, else the whole. In a fleet of thousands of replicas some
 // change each second, and the whole listing is a quarter of a megabyte.
 func (s *Sync) tellListing(answer *nodesyncv1.ExchangeResponse, asked *nodesyncv1.ExchangeRequest, listing replica.Listing) {
-	delta, known := s.options.Replicas.Since(asked.GetReplicasDigest())
+	delta, known := s.options.Replicas.DeltaSince(asked.GetReplicasDigest())
 	if !known || !asked.GetTakesChanges() {
 		answer.Replicas = replicasToProto(listing.Replicas)
 		return
@@ -42,7 +42,7 @@
 		return
 	}
 	readAt := began.Add(-microseconds(m.GetReplicasReadAge()))
-	s.options.Listed(s.options.Replicas.Take(listing, readAt, s.options.Clock()))
+	s.options.Listed(s.options.Replicas.Update(listing, readAt, s.options.Clock()))
 }
 
 // toldListing is the listing that the answer tells, for a node that has own; it is
--- a/internal/nodesync/listing_test.go
+++ b/internal/nodesync/listing_test.go
@@ -33,11 +33,11 @@
 // else have every node sent the whole listing, several times over.
 func TestOnlyChangesOfAListingAreTold(t *testing.T) {
 	a, b := newTestNode("a", 100*second), newTestNode("b", 100*second)
-	b.options.Replicas.Take(listingOf(5, 200), b.now, b.now)
+	b.options.Replicas.Update(listingOf(5, 200), b.now, b.now)
 	a.asks(t, b, 0, 0)
 	hasListing(t, a, b)
-	b.options.Replicas.Take(listingOf(6, 199, 7), b.now, b.now)
-	b.options.Replicas.Take(listingOf(7, 199, 7, 9), b.now, b.now)
+	b.options.Replicas.Update(listingOf(6, 199, 7), b.now, b.now)
+	b.options.Replicas.Update(listingOf(7, 199, 7, 9), b.now, b.now)
 	answer := b.response(a.request(target{name: "b"}, a.now))
 	if len(answer.GetReplicas()) != 2 || len(answer.GetRemovedReplicas()) != 1 {
 		t.Errorf("%d replicas and %d removed were told, want 2 and 1", len(answer.GetReplicas()), len(answer.GetRemovedReplicas()))
@@ -50,15 +50,15 @@
 // changes, and to one whose listing the other one never had.
 func TestAWholeListingIsToldWhereChangesAreOfNoUse(t *testing.T) {
 	a, b := newTestNode("a", 100*second), newTestNode("b", 100*second)
-	b.options.Replicas.Take(listingOf(5, 20), b.now, b.now)
+	b.options.Replicas.Update(listingOf(5, 20), b.now, b.now)
 	a.asks(t, b, 0, 0)
-	b.options.Replicas.Take(listingOf(6, 20, 3), b.now, b.now)
+	b.options.Replicas.Update(listingOf(6, 20, 3), b.now, b.now)
 	older := a.request(target{name: "b"}, a.now)
 	older.TakesChanges = false
 	if answer := b.response(older); len(answer.GetReplicas()) != 20 || answer.GetReplicasFrom() != 0 {
 		t.Errorf("a node that does not know changes is told %d replicas from %x", len(answer.GetReplicas()), answer.GetReplicasFrom())
 	}
-	a.options.Replicas.Take(listingOf(5, 20, 1, 2), a.now, a.now)
+	a.options.Replicas.Update(listingOf(5, 20, 1, 2), a.now, a.now)
 	a.asks(t, b, 0, 0)
 	hasListing(t, a, b)
 }
@@ -67,9 +67,9 @@
 // listing they should: it keeps its own and asks for the whole one.
 func TestChangesThatDoNotFitAreDropped(t *testing.T) {
 	a, b := newTestNode("a", 100*second), newTestNode("b", 100*second)
-	b.options.Replicas.Take(listingOf(5, 20), b.now, b.now)
+	b.options.Replicas.Update(listingOf(5, 20), b.now, b.now)
 	a.asks(t, b, 0, 0)
-	b.options.Replicas.Take(listingOf(6, 20, 3, 4), b.now, b.now)
+	b.options.Replicas.Update(listingOf(6, 20, 3, 4), b.now, b.now)
 	request := a.request(target{name: "b"}, a.now)
 	answer := b.response(request)
 	answer.Replicas = answer.Replicas[1:]
--- a/internal/nodesync/loads.go
+++ b/internal/nodesync/loads.go
@@ -30,7 +30,7 @@
 	case own.Name == self.Name && slices.ContainsFunc(hubs, func(hub Node) bool { return hub.Name == name }):
 		return loadTerms{}
 	default:
-		return loadTerms{without: s.options.Placer.FleetKnown(time.Now())}
+		return loadTerms{without: s.options.Placer.HasFleetLoads(time.Now())}
 	}
 }
 
@@ -38,7 +38,7 @@
 // placements on, and adds up the loads of those that ask it to.
 func (s *Sync) takeLoads(n Node, told toldLoads, now boottime.Instant) {
 	at := time.Now()
-	s.options.Placer.SetPeer(n.Name, loadsFromProto(told.loads), told.addsUp, s.options.Nodes.AliveCount(now), at)
+	s.options.Placer.SetPeerLoads(n.Name, loadsFromProto(told.loads), told.addsUp, s.options.Nodes.AliveCount(now), at)
 	s.options.Placer.SetPlacements(placementsFromProto(told.placements), told.toHub, at)
 }
 
--- a/internal/nodesync/ratelimits.go
+++ b/internal/nodesync/ratelimits.go
@@ -14,7 +14,7 @@
 // would never be dropped.
 func (s *Sync) takeLimits(told []*ratelimitv1.Limit, from string, began boottime.Instant) {
 	limits := slices.DeleteFunc(ratelimit.FromProto(told, began), func(l ratelimit.Limit) bool {
-		return !s.options.Replicas.Has(l.Replica, l.StartedAt)
+		return !s.options.Replicas.HasProcess(l.Replica, l.StartedAt)
 	})
 	for _, news := range s.options.Limits.Take(limits) {
 		s.options.Log.Write(&ratelimit.Changed{Limit: news, From: from, Age: s.options.Clock().Sub(news.At)})
--- a/internal/nodesync/sums.go
+++ b/internal/nodesync/sums.go
@@ -27,7 +27,7 @@
 	}
 	placer := s.options.Placer
 	loads := placer.FleetLoads(now)
-	placer.SetFleet(loads, placer.Loads(now), now)
+	placer.SetFleetLoads(loads, placer.Loads(now), now)
 	s.sums.group, s.sums.fleet, s.sums.at = loadsToProto(placer.GroupLoads(now)), loadsToProto(loads), now
 	return s.sums.group, s.sums.fleet
 }
@@ -48,10 +48,10 @@
 func (s *Sync) takeSums(m *nodesyncv1.ExchangeResponse, from Node, asked *nodesyncv1.ExchangeRequest, isHub bool) {
 	now := time.Now()
 	if group := m.GetGroupLoads(); isHub && len(group) > 0 {
-		s.options.Placer.SetGroup(from.Name, loadsFromProto(group), now)
+		s.options.Placer.SetGroupLoads(from.Name, loadsFromProto(group), now)
 		s.addedUp(now)
 	}
 	if fleet := m.GetFleetLoads(); len(fleet) > 0 {
-		s.options.Placer.SetFleet(loadsFromProto(fleet), loadsFromProto(asked.GetLoads()), now)
+		s.options.Placer.SetFleetLoads(loadsFromProto(fleet), loadsFromProto(asked.GetLoads()), now)
 	}
 }
--- a/internal/nodesync/sync_test.go
+++ b/internal/nodesync/sync_test.go
@@ -129,7 +129,7 @@
 func TestListingsSpreadWithTheirAge(t *testing.T) {
 	a, b := newTestNode("a", 100*second), newTestNode("b", 10*second)
 	listing := replica.Listing{Revision: 5, Replicas: []replica.Replica{{ID: "i", Upstream: "u", Address: "x:1", Slots: 3, Draining: true}}}
-	b.options.Replicas.Take(listing, 9*second, 9*second)
+	b.options.Replicas.Update(listing, 9*second, 9*second)
 	a.asks(t, b, 0, second)
 	got, readAt := a.options.Replicas.Latest()
 	if got.Revision != 5 || len(got.Replicas) != 1 || got.Replicas[0] != listing.Replicas[0] || readAt != 99*second {
@@ -137,7 +137,7 @@
 	}
 	// The same replicas at a later revision need not be sent again.
 	listing.Revision = 9
-	b.options.Replicas.Take(listing, b.now, b.now)
+	b.options.Replicas.Update(listing, b.now, b.now)
 	if answer := b.response(a.request(target{name: b.options.Self().Name}, a.now)); len(answer.GetReplicas()) != 0 {
 		t.Error("a listing was sent that the caller has")
 	}
@@ -264,9 +264,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b := newTestNode("a", 100*second), newTestNode("b", 100*second)
 		listing := replica.Listing{Revision: 1, Replicas: []replica.Replica{{ID: "i", Upstream: "u", Address: "x:1"}}}
-		b.options.Replicas.Take(listing, b.now, b.now)
+		b.options.Replicas.Update(listing, b.now, b.now)
 		place := func(part uint64) {
-			b.options.Placer.Choose(time.Now(), "u", &placement.Request{PromptTokens: 900, Shared: []placement.Part{{ID: part, Tokens: 100}}})
+			b.options.Placer.Choose(time.Now(), "u", &placement.Request{PromptTokens: 900, Shared: []placement.PromptPart{{ID: part, Tokens: 100}}})
 		}
 		told := func() int {
 			time.Sleep(2 * toldOverlap)
--- a/internal/placement/attempt.go
+++ b/internal/placement/attempt.go
@@ -28,7 +28,7 @@
 	// work is the prompt tokens that the replica had to read before the first token.
 	work int
 	// shared are the prompt's shared parts.
-	shared []Part
+	shared []PromptPart
 	// tokens is what it takes of the replica's memory.
 	tokens int
 	light  bool
@@ -37,8 +37,8 @@
 	begunAt time.Time
 }
 
-// Permitted notes that there is a permit for the attempt.
-func (a *Attempt) Permitted(now time.Time) {
+// PermitGranted notes that there is a permit for the attempt.
+func (a *Attempt) PermitGranted(now time.Time) {
 	a.upstream.mu.Lock()
 	defer a.upstream.mu.Unlock()
 	a.startedAt = now
@@ -55,8 +55,8 @@
 	}
 }
 
-// Begun notes the first byte of an answer that counts.
-func (a *Attempt) Begun(now time.Time) {
+// AnswerStarted notes the first byte of an answer that counts.
+func (a *Attempt) AnswerStarted(now time.Time) {
 	a.upstream.mu.Lock()
 	defer a.upstream.mu.Unlock()
 	a.upstream.reading.Observe(a.work, now.Sub(a.startedAt))
@@ -66,16 +66,16 @@
 	a.state.recover(now)
 }
 
-// Responded notes that the replica gave a failure of its own.
-func (a *Attempt) Responded(now time.Time) {
+// ErrorReceived notes that the replica gave a failure of its own.
+func (a *Attempt) ErrorReceived(now time.Time) {
 	a.upstream.mu.Lock()
 	defer a.upstream.mu.Unlock()
 	a.heard(now)
 	a.state.recover(now)
 }
 
-// Heard notes a further byte of the answer.
-func (a *Attempt) Heard(now time.Time) {
+// DataReceived notes a further byte of the answer.
+func (a *Attempt) DataReceived(now time.Time) {
 	a.upstream.mu.Lock()
 	defer a.upstream.mu.Unlock()
 	a.heard(now)
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -15,7 +15,7 @@
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
 			p, now := benchPlacer(replicas)
 			for i := range b.N {
-				a := p.Choose(now, "u", &Request{PromptTokens: 900, Shared: []Part{{ID: uint64(i % 500), Tokens: 700}}})
+				a := p.Choose(now, "u", &Request{PromptTokens: 900, Shared: []PromptPart{{ID: uint64(i % 500), Tokens: 700}}})
 				a.End(now, Answered)
 			}
 		})
@@ -27,7 +27,7 @@
 	p, now := benchPlacer(3000)
 	loads := p.Loads(now)
 	for b.Loop() {
-		p.SetFleet(loads, p.Loads(now), now)
+		p.SetFleetLoads(loads, p.Loads(now), now)
 	}
 }
 
@@ -38,11 +38,11 @@
 	for i := range replicas {
 		listing.Replicas = append(listing.Replicas, replica.Replica{ID: fmt.Sprintf("i-%010d", i), Upstream: "u", Slots: 32})
 	}
-	set.Take(listing, 1, 1)
+	set.Update(listing, 1, 1)
 	p := NewPlacer("z0", set, rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(1000, 0)
 	for i := range 10 {
-		p.Choose(now, "u", &Request{PromptTokens: 900, Shared: []Part{{ID: uint64(i), Tokens: 700}}})
+		p.Choose(now, "u", &Request{PromptTokens: 900, Shared: []PromptPart{{ID: uint64(i), Tokens: 700}}})
 	}
 	return p, now
 }
--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -30,7 +30,7 @@
 }
 
 // add notes that the replica was given the parts.
-func (c *cache) add(now time.Time, parts []Part) {
+func (c *cache) add(now time.Time, parts []PromptPart) {
 	for _, p := range parts {
 		c.note(now, p.ID)
 	}
@@ -51,7 +51,7 @@
 }
 
 // read notes that the replica has read the parts.
-func (c *cache) read(now time.Time, parts []Part) {
+func (c *cache) read(now time.Time, parts []PromptPart) {
 	for _, p := range parts {
 		if part, known := c.parts[p.ID]; known && part.readAt.After(now) {
 			part.readAt = now
@@ -84,7 +84,7 @@
 // deepest is the index of the last of the parts that the replica was given and has
 // not dropped, or -1. Prompts are cached from their start, so that a part stands
 // for all before it.
-func (c *cache) deepest(now time.Time, parts []Part) int {
+func (c *cache) deepest(now time.Time, parts []PromptPart) int {
 	for i := len(parts) - 1; i >= 0; i-- {
 		if part, known := c.parts[parts[i].ID]; known && now.Sub(part.usedAt) <= cachedFor {
 			return i
@@ -94,13 +94,13 @@
 }
 
 // tokens is the length of the leading parts that the replica was given.
-func (c *cache) tokens(now time.Time, parts []Part) int {
+func (c *cache) tokens(now time.Time, parts []PromptPart) int {
 	return length(parts[:c.deepest(now, parts)+1])
 }
 
 // hasRead says whether the replica has read the deepest of the parts that it was
 // given.
-func (c *cache) hasRead(now time.Time, parts []Part) bool {
+func (c *cache) hasRead(now time.Time, parts []PromptPart) bool {
 	i := c.deepest(now, parts)
 	return i >= 0 && !c.parts[parts[i].ID].readAt.After(now)
 }
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -75,7 +75,7 @@
 	copied := p.copied(s, cached)
 	uncached := r.PromptTokens - cached - copied
 	cost := copyCost * float64(copied)
-	cost += u.reading.Milliseconds(s.toRead()+uncached) + u.placeWait(s, r.Rank)
+	cost += u.reading.PrefillMS(s.toRead()+uncached) + u.placeWait(s, r.Rank)
 	cost += reread * float64(r.sharedTokens()-cached-copied)
 	// An engine that runs out of memory puts requests back and reads them again.
 	cost += max(u.used(r, s)-crowdedFrom, 0) * crowdedCost
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -18,14 +18,14 @@
 type Load struct {
 	Replica string
 	Running int
-	// Light is the number of running requests of light classes.
-	Light int
-	// Reading is the prompt tokens that are not read yet.
-	Reading Reading
-	// Tokens is what the running requests take of the replica's memory.
-	Tokens int
-	// Failures is the node's failure score of the replica.
-	Failures float64
+	// RunningShort is the number of running requests of light classes.
+	RunningShort int
+	// PrefillBacklog is the prompt tokens that are not read yet.
+	PrefillBacklog PrefillBacklog
+	// TokensInMemory is what the running requests take of the replica's memory.
+	TokensInMemory int
+	// FailureScore is the node's failure score of the replica.
+	FailureScore float64
 }
 
 // Loads is this node's use of the replicas, the most used first.
@@ -69,14 +69,14 @@
 		if s.running == 0 && failures < negligibleFailures {
 			continue
 		}
-		loads = append(loads, Load{Replica: s.replica.ID, Running: s.running, Light: s.light, Reading: s.reading, Tokens: s.tokens, Failures: failures})
+		loads = append(loads, Load{Replica: s.replica.ID, Running: s.running, RunningShort: s.light, PrefillBacklog: s.reading, TokensInMemory: s.tokens, FailureScore: failures})
 	}
 	return loads
 }
 
-// AddUp adds the loads to the sums by replica, nil for none yet, and returns them. The
+// SumLoads adds the loads to the sums by replica, nil for none yet, and returns them. The
 // highest failure score counts.
-func AddUp(sums map[string]Load, loads []Load) map[string]Load {
+func SumLoads(sums map[string]Load, loads []Load) map[string]Load {
 	if sums == nil {
 		sums = make(map[string]Load, len(loads))
 	}
@@ -84,10 +84,10 @@
 		sum := sums[l.Replica]
 		sum.Replica = l.Replica
 		sum.Running += l.Running
-		sum.Light += l.Light
-		sum.Reading = sum.Reading.plus(&l.Reading)
-		sum.Tokens += l.Tokens
-		sum.Failures = max(sum.Failures, l.Failures)
+		sum.RunningShort += l.RunningShort
+		sum.PrefillBacklog = sum.PrefillBacklog.plus(&l.PrefillBacklog)
+		sum.TokensInMemory += l.TokensInMemory
+		sum.FailureScore = max(sum.FailureScore, l.FailureScore)
 		sums[l.Replica] = sum
 	}
 	return sums
@@ -96,9 +96,9 @@
 // minus takes one node's part out of a sum.
 func (l Load) minus(part Load) Load {
 	l.Running = max(l.Running-part.Running, 0)
-	l.Light = max(l.Light-part.Light, 0)
-	l.Reading = l.Reading.minus(&part.Reading)
-	l.Tokens = max(l.Tokens-part.Tokens, 0)
+	l.RunningShort = max(l.RunningShort-part.RunningShort, 0)
+	l.PrefillBacklog = l.PrefillBacklog.minus(&part.PrefillBacklog)
+	l.TokensInMemory = max(l.TokensInMemory-part.TokensInMemory, 0)
 	return l
 }
 
@@ -115,11 +115,11 @@
 func scale(sums map[string]Load, by float64) {
 	for replica, sum := range sums {
 		sum.Running = int(math.Round(by * float64(sum.Running)))
-		sum.Light = int(math.Round(by * float64(sum.Light)))
-		for rank, tokens := range sum.Reading {
-			sum.Reading[rank] = int(math.Round(by * float64(tokens)))
+		sum.RunningShort = int(math.Round(by * float64(sum.RunningShort)))
+		for rank, tokens := range sum.PrefillBacklog {
+			sum.PrefillBacklog[rank] = int(math.Round(by * float64(tokens)))
 		}
-		sum.Tokens = int(math.Round(by * float64(sum.Tokens)))
+		sum.TokensInMemory = int(math.Round(by * float64(sum.TokensInMemory)))
 		sums[replica] = sum
 	}
 }
--- a/internal/placement/peers.go
+++ b/internal/placement/peers.go
@@ -16,9 +16,9 @@
 // recent says whether the loads still count.
 func (l *peerLoads) recent(now time.Time) bool { return now.Sub(l.at) <= peerLoadFor }
 
-// SetPeer takes in what another node tells of its load, counted if this node adds
+// SetPeerLoads takes in what another node tells of its load, counted if this node adds
 // up for it; alive is the number of other nodes that serve.
-func (p *Placer) SetPeer(node string, loads []Load, counted bool, alive int, now time.Time) {
+func (p *Placer) SetPeerLoads(node string, loads []Load, counted bool, alive int, now time.Time) {
 	p.mu.Lock()
 	p.peers[node] = peerLoads{loads: loads, counted: counted, at: now}
 	forgetOld(p.peers, now)
@@ -29,9 +29,9 @@
 	}
 }
 
-// FleetKnown says whether one that adds up the loads of all nodes told the sum
+// HasFleetLoads says whether one that adds up the loads of all nodes told the sum
 // lately. It counts then, and what single nodes tell does not.
-func (p *Placer) FleetKnown(now time.Time) bool {
+func (p *Placer) HasFleetLoads(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fleetKnown(now)
@@ -40,18 +40,18 @@
 // fleetKnown is FleetKnown with the lock held.
 func (p *Placer) fleetKnown(now time.Time) bool { return now.Sub(p.fleetAt) <= peerLoadFor }
 
-// SetGroup takes in what the nodes use together for which another one adds up.
-func (p *Placer) SetGroup(hub string, loads []Load, now time.Time) {
+// SetGroupLoads takes in what the nodes use together for which another one adds up.
+func (p *Placer) SetGroupLoads(hub string, loads []Load, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.groups[hub] = peerLoads{loads: loads, at: now}
 	forgetOld(p.groups, now)
 }
 
-// SetFleet takes in what all nodes use together, of which own is this node's
+// SetFleetLoads takes in what all nodes use together, of which own is this node's
 // part.
-func (p *Placer) SetFleet(loads, own []Load, now time.Time) {
-	others := AddUp(nil, loads)
+func (p *Placer) SetFleetLoads(loads, own []Load, now time.Time) {
+	others := SumLoads(nil, loads)
 	for _, l := range own {
 		if sum, ok := others[l.Replica]; ok {
 			others[l.Replica] = sum.minus(l)
@@ -75,19 +75,19 @@
 	defer p.mu.Unlock()
 	for _, told := range p.groups {
 		if told.recent(now) {
-			sums = AddUp(sums, told.loads)
+			sums = SumLoads(sums, told.loads)
 		}
 	}
 	return listed(sums)
 }
 
 func (p *Placer) groupSum(now time.Time) map[string]Load {
-	sums := AddUp(nil, p.Loads(now))
+	sums := SumLoads(nil, p.Loads(now))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, told := range p.peers {
 		if told.counted && told.recent(now) {
-			sums = AddUp(sums, told.loads)
+			sums = SumLoads(sums, told.loads)
 		}
 	}
 	return sums
@@ -124,7 +124,7 @@
 	heard := 0
 	for _, told := range p.peers {
 		if told.recent(now) {
-			sums = AddUp(sums, told.loads)
+			sums = SumLoads(sums, told.loads)
 			heard++
 		}
 	}
@@ -139,14 +139,14 @@
 	defer u.mu.Unlock()
 	for _, s := range u.all {
 		sum := sums[s.replica.ID]
-		s.peersRunning, s.peersLight = sum.Running, sum.Light
-		s.peersReading, s.peersTokens, s.peersFailures = sum.Reading, sum.Tokens, sum.Failures
+		s.peersRunning, s.peersLight = sum.Running, sum.RunningShort
+		s.peersReading, s.peersTokens, s.peersFailures = sum.PrefillBacklog, sum.TokensInMemory, sum.FailureScore
 	}
 }
 
-// Others is the requests that other nodes run on each replica, as this node
+// PeersRunning is the requests that other nodes run on each replica, as this node
 // believes, for pages that show its view.
-func (p *Placer) Others(now time.Time) map[string]int {
+func (p *Placer) PeersRunning(now time.Time) map[string]int {
 	running := make(map[string]int)
 	for id, l := range p.others(0, now) {
 		running[id] = l.Running
--- a/internal/placement/placements.go
+++ b/internal/placement/placements.go
@@ -33,7 +33,7 @@
 
 // add notes that a prompt with these parts was sent to the replica. The deepest
 // one stands for all before it.
-func (p *placements) add(now time.Time, replica string, parts []Part) {
+func (p *placements) add(now time.Time, replica string, parts []PromptPart) {
 	if len(parts) > 0 {
 		p.note(replica, parts[len(parts)-1].ID, notedPart{at: now, till: now.Add(placedFor)})
 	}
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -49,9 +49,9 @@
 	return u
 }
 
-// SeeAll has requests placed among all replicas also in a large fleet, for comparisons.
+// ConsiderAllReplicas has requests placed among all replicas also in a large fleet, for comparisons.
 // It is called before the first Choose.
-func (p *Placer) SeeAll() { p.seeAll = true }
+func (p *Placer) ConsiderAllReplicas() { p.seeAll = true }
 
 // SetPermits has replicas that name a rate left alone while there is no permit. It is called
 // before the first Choose.
@@ -64,7 +64,7 @@
 func (p *Placer) Choose(now time.Time, name string, r *Request) *Attempt {
 	u := p.upstream(name)
 	p.used(now)
-	replicas := p.replicas.Of(name)
+	replicas := p.replicas.ForUpstream(name)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	d := u.choose(now, r, replicas)
@@ -102,7 +102,7 @@
 		a.rank, a.reading = r.Rank, r.PromptTokens-d.cached
 		s.reading.add(a.rank, a.reading)
 		a.shared = r.Shared
-		a.work = a.Choice.Ahead + a.reading
+		a.work = a.Choice.PrefillAhead + a.reading
 		a.tokens = r.tokens() - d.cached
 		s.tokens += a.tokens
 	}
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -28,14 +28,14 @@
 			Slots: 32, Draining: slices.Contains(draining, i),
 		})
 	}
-	set.Take(l, 1, 1)
+	set.Update(l, 1, 1)
 }
 
 // long is a prompt that takes several steps to read, of a session.
 func long(session uint64) *Request {
 	return &Request{
 		Class: "long", PromptTokens: 9000, AnswerTokens: 50, MemoryTokens: 290_000,
-		Shared: []Part{{session / 50, 2500}, {session, 3700}},
+		Shared: []PromptPart{{session / 50, 2500}, {session, 3700}},
 	}
 }
 
@@ -54,7 +54,7 @@
 		now := start.Add(time.Duration(session) * time.Second)
 		a := one.Choose(now, "u", long(session))
 		home[session] = a.Replica.ID
-		a.Begun(now)
+		a.AnswerStarted(now)
 		a.End(now, Answered)
 		two.SetPlacements(one.Placements(now, time.Time{}), false, now)
 		for _, p := range []*Placer{one, two} {
@@ -85,17 +85,17 @@
 		t.Run(name, func(t *testing.T) {
 			p, set := fleet(12, 1)
 			first := p.Choose(start, "u", long(100))
-			first.Begun(start)
+			first.AnswerStarted(start)
 			first.End(start, Answered)
 			var loads []Load
-			for _, r := range set.Of("u") {
-				load := Load{Replica: r.ID, Running: 4, Reading: Reading{test.elsewhere}}
+			for _, r := range set.ForUpstream("u") {
+				load := Load{Replica: r.ID, Running: 4, PrefillBacklog: PrefillBacklog{test.elsewhere}}
 				if r.ID == first.Replica.ID {
-					load.Reading = Reading{muchToRead}
+					load.PrefillBacklog = PrefillBacklog{muchToRead}
 				}
 				loads = append(loads, load)
 			}
-			p.SetPeer("other", loads, false, 1, start)
+			p.SetPeerLoads("other", loads, false, 1, start)
 			again := p.Choose(start, "u", long(100))
 			if stayed := again.Replica.ID == first.Replica.ID; stayed != test.stays {
 				t.Errorf("the session stayed at its replica: %v", stayed)
@@ -115,7 +115,7 @@
 			request = long(uint64(100 + i%90))
 		}
 		a := p.Choose(now, "u", request)
-		a.Begun(now)
+		a.AnswerStarted(now)
 		if i > 150 {
 			sides[request.Class][a.Replica.ID]++
 		}
@@ -138,7 +138,7 @@
 }
 
 func TestAFailingReplicaIsAvoidedAndTriedAgain(t *testing.T) {
-	for _, result := range []Result{Broken, Silent, Unreachable, Errored, Full, Replaced} {
+	for _, result := range []Result{Interrupted, TimedOut, Unreachable, Errored, Full, Replaced} {
 		p, _ := fleet(3, 1)
 		first := p.Choose(start, "u", &Request{})
 		first.End(start, result)
@@ -171,15 +171,15 @@
 		if a.Replica.ID == stuck.Replica.ID {
 			t.Fatal("a request went to the replica that has been silent for two seconds")
 		}
-		a.Begun(now)
+		a.AnswerStarted(now)
 	}
 }
 
 func TestAnotherNodesFailuresAndLoadCount(t *testing.T) {
 	p, set := fleet(3, 1)
 	p.Choose(start, "u", &Request{}).End(start, Cancelled)
-	ids := []string{set.Of("u")[0].ID, set.Of("u")[1].ID}
-	p.SetPeer("other", []Load{{Replica: ids[0], Failures: 5}, {Replica: ids[1], Running: 90}}, false, 1, start)
+	ids := []string{set.ForUpstream("u")[0].ID, set.ForUpstream("u")[1].ID}
+	p.SetPeerLoads("other", []Load{{Replica: ids[0], FailureScore: 5}, {Replica: ids[1], Running: 90}}, false, 1, start)
 	for range 10 {
 		a := p.Choose(start, "u", &Request{})
 		if slices.Contains(ids, a.Replica.ID) {
@@ -188,7 +188,7 @@
 		a.End(start, Cancelled)
 	}
 	// News that are not renewed are forgotten with the next news of another node.
-	p.SetPeer("third", nil, false, 1, start.Add(2*time.Second))
+	p.SetPeerLoads("third", nil, false, 1, start.Add(2*time.Second))
 	used := make(map[string]bool)
 	for range 40 {
 		a := p.Choose(start, "u", &Request{})
@@ -203,7 +203,7 @@
 func TestAFurtherAttemptGoesElsewhereAndFirstToAnotherZone(t *testing.T) {
 	p, set := fleet(6, 1)
 	byID := make(map[string]replica.Replica)
-	for _, r := range set.Of("u") {
+	for _, r := range set.ForUpstream("u") {
 		byID[r.ID] = r
 	}
 	request := &Request{}
@@ -246,7 +246,7 @@
 			for i := range 100 {
 				r := long(session(i))
 				a := p.Choose(start, "u", r)
-				a.Begun(start)
+				a.AnswerStarted(start)
 				taken[a.Replica.ID] += r.tokens() - r.sharedTokens()
 				for _, part := range r.Shared {
 					if held[a.Replica.ID] == nil {
@@ -293,12 +293,12 @@
 func TestTheLoadOfSomeNodesStandsForAll(t *testing.T) {
 	p, set := fleet(1, 1)
 	p.Choose(start, "u", &Request{}).End(start, Cancelled)
-	id := set.Of("u")[0].ID
+	id := set.ForUpstream("u")[0].ID
 	for i := range 4 {
-		p.SetPeer(fmt.Sprint(i), []Load{{Replica: id, Running: 3, Reading: Reading{60, 0, 40}}}, false, 12, start)
+		p.SetPeerLoads(fmt.Sprint(i), []Load{{Replica: id, Running: 3, PrefillBacklog: PrefillBacklog{60, 0, 40}}}, false, 12, start)
 	}
 	s := p.upstream("u").states[id]
-	if s.peersRunning != 36 || s.peersReading != (Reading{720, 0, 480}) {
+	if s.peersRunning != 36 || s.peersReading != (PrefillBacklog{720, 0, 480}) {
 		t.Errorf("4 of 12 nodes with 3 running requests count as %d, and %v tokens", s.peersRunning, s.peersReading)
 	}
 }
@@ -306,20 +306,20 @@
 func TestAReplicaThatStartedAgainUnderItsIdentityHoldsNothing(t *testing.T) {
 	p, set := fleet(6, 1)
 	first := p.Choose(start, "u", long(100))
-	first.Begun(start)
+	first.AnswerStarted(start)
 	first.End(start, Unreachable)
 	u := p.upstream("u")
 	if u.states[first.Replica.ID].cache.tokens(start, long(100).Shared) == 0 {
 		t.Fatal("the replica was given the prompt, and counts as without it")
 	}
 	l := replica.Listing{Revision: 2}
-	for _, r := range set.Of("u") {
+	for _, r := range set.ForUpstream("u") {
 		if r.ID == first.Replica.ID {
 			r.StartedAt = 1_787_333_850_123
 		}
 		l.Replicas = append(l.Replicas, r)
 	}
-	set.Take(l, 2, 2)
+	set.Update(l, 2, 2)
 	p.Choose(start, "u", short()).End(start, Cancelled)
 	s := u.states[first.Replica.ID]
 	if tokens := s.cache.tokens(start, long(100).Shared); tokens > 0 || s.failuresAt(start) > 0 {
--- a/internal/placement/prefix.go
+++ b/internal/placement/prefix.go
@@ -31,9 +31,9 @@
 	if len(r.Shared) == 0 {
 		return prefix{}
 	}
-	p := prefix{copies: r.CopiesPrompts}
+	p := prefix{copies: r.CanCopyCache}
 	p.home, p.second = homesOf(r, side)
-	if !r.CopiesPrompts {
+	if !r.CanCopyCache {
 		return p
 	}
 	for _, s := range open {
--- a/internal/placement/prefix_test.go
+++ b/internal/placement/prefix_test.go
@@ -8,7 +8,7 @@
 // copying is a long prompt for an engine whose replicas copy from each other.
 func copying(session uint64) *Request {
 	r := long(session)
-	r.CopiesPrompts = true
+	r.CanCopyCache = true
 	return r
 }
 
@@ -18,11 +18,11 @@
 	for _, s := range p.upstream("u").all {
 		load := Load{Replica: s.replica.ID, Running: 4}
 		if s.replica.ID != except {
-			load.Reading = Reading{tokens}
+			load.PrefillBacklog = PrefillBacklog{tokens}
 		}
 		loads = append(loads, load)
 	}
-	p.SetPeer("other", loads, false, 1, start)
+	p.SetPeerLoads("other", loads, false, 1, start)
 }
 
 // A session whose replica has much to read goes to an idle one, which copies what was
@@ -43,7 +43,7 @@
 			p, _ := fleet(12, 1)
 			first := p.Choose(start, "u", copying(100))
 			if test.begun > 0 {
-				first.Begun(start.Add(test.begun))
+				first.AnswerStarted(start.Add(test.begun))
 			}
 			where := findPrefix(start.Add(test.asked), copying(100), p.upstream("u").openNow, p.upstream("u").openNow)
 			if held := where.holder != nil && where.holder.replica.ID == first.Replica.ID; held != test.copy {
@@ -58,8 +58,8 @@
 			if again.Replica.ID != idle || again.CopyFrom != first.Replica.Address {
 				t.Errorf("it went to %s and copies from %q, want %s and %q", again.Replica.ID, again.CopyFrom, idle, first.Replica.Address)
 			}
-			if again.Choice.Cached != copying(100).sharedTokens() {
-				t.Errorf("%d tokens count as cached with the copy", again.Choice.Cached)
+			if again.Choice.CachedTokens != copying(100).sharedTokens() {
+				t.Errorf("%d tokens count as cached with the copy", again.Choice.CachedTokens)
 			}
 		})
 	}
@@ -101,15 +101,15 @@
 // A prompt waits for those of its own rank and before; engines read the others later.
 func TestLessUrgentPromptsAreNotAhead(t *testing.T) {
 	p, set := fleet(1, 1)
-	id := set.Of("u")[0].ID
+	id := set.ForUpstream("u")[0].ID
 	p.Choose(start, "u", &Request{}).End(start, Cancelled)
-	p.SetPeer("other", []Load{{Replica: id, Running: 2, Reading: Reading{0, 1000, 0, 50_000}}}, false, 1, start)
+	p.SetPeerLoads("other", []Load{{Replica: id, Running: 2, PrefillBacklog: PrefillBacklog{0, 1000, 0, 50_000}}}, false, 1, start)
 	for rank, want := range map[int]int{0: 0, 1: 1000, 2: 1000, 3: 51_000, 12: 51_000} {
 		r := short()
 		r.Rank = rank
 		a := p.Choose(start, "u", r)
-		if a.Choice.Ahead != want || a.Choice.ToRead != 51_000 {
-			t.Errorf("rank %d: %d tokens ahead of %d, want %d of 51000", rank, a.Choice.Ahead, a.Choice.ToRead, want)
+		if a.Choice.PrefillAhead != want || a.Choice.PendingPrefill != 51_000 {
+			t.Errorf("rank %d: %d tokens ahead of %d, want %d of 51000", rank, a.Choice.PrefillAhead, a.Choice.PendingPrefill, want)
 		}
 		a.End(start, Cancelled)
 	}
--- a/internal/placement/ratelimits.go
+++ b/internal/placement/ratelimits.go
@@ -35,8 +35,8 @@
 type RateLimited struct {
 	// Replicas is their number.
 	Replicas int
-	// Next is when a permit of one of them may be asked for again, the earliest.
-	Next time.Time
+	// NextPermitAt is when a permit of one of them may be asked for again, the earliest.
+	NextPermitAt time.Time
 }
 
 // RateLimited tells why Choose found no replica of the upstream, where their rates are the
@@ -52,8 +52,8 @@
 			continue
 		}
 		next := u.permits.Next(s.replica.ID)
-		if found.Replicas == 0 || next.Before(found.Next) {
-			found.Next = next
+		if found.Replicas == 0 || next.Before(found.NextPermitAt) {
+			found.NextPermitAt = next
 		}
 		found.Replicas++
 	}
--- a/internal/placement/ratelimits_test.go
+++ b/internal/placement/ratelimits_test.go
@@ -20,7 +20,7 @@
 		return ratelimit.Grant{RetryAfter: time.Minute}, nil
 	})
 	p.SetPermits(permits)
-	for _, r := range set.Of("u")[:limited] {
+	for _, r := range set.ForUpstream("u")[:limited] {
 		table.Answered(ratelimit.Answer{Replica: r, Limited: true, PerSecond: 1, At: 1})
 	}
 	return p, permits
@@ -60,7 +60,7 @@
 		t.Fatalf("%s was chosen", a.Replica.ID)
 	}
 	found := p.RateLimited(time.Now(), "u")
-	if found.Replicas != 3 || time.Until(found.Next) < 50*time.Second {
+	if found.Replicas != 3 || time.Until(found.NextPermitAt) < 50*time.Second {
 		t.Errorf("found %+v", found)
 	}
 	if found := p.RateLimited(time.Now(), "other"); found.Replicas != 0 {
@@ -73,7 +73,7 @@
 func TestWhereAllDrawnReplicasNameRatesTheOthersAreLookedAt(t *testing.T) {
 	p, permits := limitedFleet(40, 39)
 	p.Choose(time.Now(), "u", short()).End(time.Now(), Cancelled)
-	p.SetFleet([]Load{{Replica: "i-00", Running: 400}}, nil, time.Now())
+	p.SetFleetLoads([]Load{{Replica: "i-00", Running: 400}}, nil, time.Now())
 	for range 50 {
 		a := refuse(t, p, permits)
 		if a == nil || a.Replica.ID != "i-39" {
@@ -86,7 +86,7 @@
 func TestARequestMayKeepFromReplicasThatNameRates(t *testing.T) {
 	p, permits := limitedFleet(4, 3)
 	request := short()
-	request.WithoutLimited = true
+	request.ExcludeRateLimited = true
 	for range 10 {
 		if a := p.Choose(start, "u", request); a == nil || a.NeedsPermit || ratelimit.Limited(permits.Limits(), &a.Replica) {
 			t.Fatalf("chosen: %+v", a)
@@ -104,7 +104,7 @@
 	if told := p.Placements(now, time.Time{}); len(told) != 0 {
 		t.Errorf("told after a refusal: %v", told)
 	}
-	p.Choose(now, "u", long(100)).Permitted(now)
+	p.Choose(now, "u", long(100)).PermitGranted(now)
 	if told := p.Placements(now, time.Time{}); len(told) != 1 {
 		t.Errorf("told after a permit: %v", told)
 	}
@@ -112,7 +112,7 @@
 
 func TestAnotherProcessUnderTheSameIdentityHasNoRate(t *testing.T) {
 	p, _ := limitedFleet(1, 1)
-	p.replicas.Take(replica.Listing{Revision: 2, Replicas: []replica.Replica{{ID: "i-00", StartedAt: 9, Upstream: "u", Slots: 32}}}, 3, 3)
+	p.replicas.Update(replica.Listing{Revision: 2, Replicas: []replica.Replica{{ID: "i-00", StartedAt: 9, Upstream: "u", Slots: 32}}}, 3, 3)
 	if a := p.Choose(start, "u", short()); a == nil || a.NeedsPermit {
 		t.Errorf("chosen: %+v", a)
 	}
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -1,7 +1,7 @@
 package placement
 
-// Part is one part of a prompt, which replicas cache.
-type Part struct {
+// PromptPart is one part of a prompt, which replicas cache.
+type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
@@ -18,12 +18,12 @@
 	AnswerTokens int
 	// MemoryTokens bounds the tokens in a replica's memory; zero: not known.
 	MemoryTokens int
-	// CopiesPrompts says that a replica can copy cached parts from another one.
-	CopiesPrompts bool
+	// CanCopyCache says that a replica can copy cached parts from another one.
+	CanCopyCache bool
 	// Shared are the prompt's parts that other requests have too, in order.
-	Shared []Part
-	// WithoutLimited keeps the request from replicas that name a rate.
-	WithoutLimited bool
+	Shared []PromptPart
+	// ExcludeRateLimited keeps the request from replicas that name a rate.
+	ExcludeRateLimited bool
 	// Avoid names replicas that have failed this request already.
 	Avoid []string
 	// FailedZones are the availability zones of these.
@@ -39,7 +39,7 @@
 }
 
 // length is the tokens of the parts.
-func length(parts []Part) int {
+func length(parts []PromptPart) int {
 	total := 0
 	for _, p := range parts {
 		total += p.Tokens
--- a/internal/placement/result.go
+++ b/internal/placement/result.go
@@ -13,10 +13,10 @@
 	Full
 	// Errored replicas answered with a failure of their own.
 	Errored
-	// Broken attempts lost their connection or their answer's end.
-	Broken
-	// Silent attempts brought nothing in the time allowed.
-	Silent
+	// Interrupted attempts lost their connection or their answer's end.
+	Interrupted
+	// TimedOut attempts brought nothing in the time allowed.
+	TimedOut
 	// Unreachable replicas took no connection.
 	Unreachable
 	// Replaced replicas have given their address to another process.
@@ -28,8 +28,8 @@
 var penalties = map[Result]float64{
 	Full:        0.5,
 	Errored:     0.7,
-	Broken:      1,
-	Silent:      3,
+	Interrupted: 1,
+	TimedOut:    3,
 	Unreachable: 6,
 	Replaced:    50,
 }
--- a/internal/placement/split.go
+++ b/internal/placement/split.go
@@ -130,7 +130,7 @@
 	if !u.heavy(r) {
 		return 0
 	}
-	stall := u.reading.Milliseconds(s.toRead() + uncached)
+	stall := u.reading.PrefillMS(s.toRead() + uncached)
 	part := min(max((stall-stallFrom)/(stallTo-stallFrom), 0), 1)
 	return part * stallCost * float64(s.light+s.peersLight)
 }
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -15,12 +15,12 @@
 	// the replica's memory.
 	// light counts those of the running attempts whose class is light.
 	running int
-	reading Reading
+	reading PrefillBacklog
 	light   int
 	tokens  int
 	// peersRunning and the like are the other nodes' sums as last told.
 	peersRunning int
-	peersReading Reading
+	peersReading PrefillBacklog
 	peersLight   int
 	peersTokens  int
 	// peersFailures is the other nodes' failure score as last told.
--- a/internal/placement/upstream.go
+++ b/internal/placement/upstream.go
@@ -45,7 +45,7 @@
 	// permits are those for replicas that name a rate; nil: none is kept to.
 	permits *ratelimit.Permits
 	// reading is the learned speed at which the replicas read prompts.
-	reading *enginespeed.Reading
+	reading *enginespeed.Estimator
 	// prompts is the usual prompt of each class, in tokens.
 	prompts map[string]float64
 	split   split
@@ -56,7 +56,7 @@
 }
 
 func newUpstream(zone string, random *rand.Rand) *upstream {
-	return &upstream{zone: zone, rand: random, states: make(map[string]*state), workMS: initialWorkMS, reading: enginespeed.NewReading(), prompts: make(map[string]float64)}
+	return &upstream{zone: zone, rand: random, states: make(map[string]*state), workMS: initialWorkMS, reading: enginespeed.NewEstimator(), prompts: make(map[string]float64)}
 }
 
 // follow takes the replicas that are known now. The lock is held.
@@ -142,7 +142,7 @@
 	var best *state
 	least := math.Inf(1)
 	limits := u.rateLimits(now)
-	limits.avoid = r.WithoutLimited
+	limits.avoid = r.ExcludeRateLimited
 	for i, s := range u.openNow {
 		if !u.isCandidate(s, where, share) && (best != nil || i < len(u.openNow)-1) {
 			continue
@@ -176,7 +176,7 @@
 		u.waiting = append(u.waiting, s.toRead())
 	}
 	slices.Sort(u.waiting)
-	return u.reading.Milliseconds(u.waiting[len(u.waiting)/2])
+	return u.reading.PrefillMS(u.waiting[len(u.waiting)/2])
 }
 
 const (
--- a/internal/replica/change.go
+++ b/internal/replica/change.go
@@ -5,9 +5,9 @@
 
 // The kinds of changes.
 const (
-	Appeared        ChangeKind = "appeared"
+	Added           ChangeKind = "appeared"
 	StartedDraining ChangeKind = "draining"
-	Gone            ChangeKind = "gone"
+	Removed         ChangeKind = "gone"
 )
 
 // Change is one difference between two states of a Set.
--- a/internal/replica/delta.go
+++ b/internal/replica/delta.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// Since is what turns the listing of the digest into the newest, where that is
+// DeltaSince is what turns the listing of the digest into the newest, where that is
 // remembered. Zero is the digest of no listing.
-func (s *Set) Since(digest uint64) (Delta, bool) {
+func (s *Set) DeltaSince(digest uint64) (Delta, bool) {
 	if digest == 0 {
 		return Delta{}, false
 	}
--- a/internal/replica/delta_test.go
+++ b/internal/replica/delta_test.go
@@ -26,14 +26,14 @@
 			for _, r := range current {
 				l.Replicas = append(l.Replicas, r)
 			}
-			source.Take(l, at(step*100), at(step*100))
+			source.Update(l, at(step*100), at(step*100))
 			newest, _ := source.Latest()
 			seen = append(seen, newest)
 			for back, old := range seen[:step] {
 				if old.Digest == newest.Digest || len(old.Replicas) == 0 {
 					continue
 				}
-				delta, found := source.Since(old.Digest)
+				delta, found := source.DeltaSince(old.Digest)
 				if !found {
 					t.Fatalf("seed %d, step %d: nothing leads on from listing %d", seed, step, back)
 				}
@@ -47,13 +47,13 @@
 
 func TestAnUnknownListingHasNoDelta(t *testing.T) {
 	s := NewSet()
-	s.Take(listing(1, "a"), at(0), at(0))
-	s.Take(listing(2, "a", "b"), at(100), at(100))
-	if delta, found := s.Since(12345); found {
+	s.Update(listing(1, "a"), at(0), at(0))
+	s.Update(listing(2, "a", "b"), at(100), at(100))
+	if delta, found := s.DeltaSince(12345); found {
 		t.Errorf("delta %+v of a listing that this set never had", delta)
 	}
 	for i := range 2 * maxDeltas {
-		s.Take(listing(int64(3+i), "a", fmt.Sprint(i)), at(200+i), at(200+i))
+		s.Update(listing(int64(3+i), "a", fmt.Sprint(i)), at(200+i), at(200+i))
 	}
 	if len(s.deltas) > maxDeltas {
 		t.Errorf("%d deltas are remembered", len(s.deltas))
@@ -63,12 +63,12 @@
 // TestTheSameListingCostsNothing: each exchange with another node confirms it.
 func TestTheSameListingCostsNothing(t *testing.T) {
 	s := NewSet()
-	s.Take(listing(1, "a", "b", "c"), at(0), at(0))
+	s.Update(listing(1, "a", "b", "c"), at(0), at(0))
 	same, _ := s.Latest()
 	revision := same.Revision
 	allocations := testing.AllocsPerRun(100, func() {
 		revision++
-		s.Take(Listing{Revision: revision, Replicas: same.Replicas, Digest: same.Digest}, at(int(revision)*100), at(int(revision)*100))
+		s.Update(Listing{Revision: revision, Replicas: same.Replicas, Digest: same.Digest}, at(int(revision)*100), at(int(revision)*100))
 	})
 	if allocations != 0 {
 		t.Errorf("%v allocations for a listing of the same replicas", allocations)
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -37,9 +37,9 @@
 	return &Set{known: make(map[string]Replica), byUpstream: make(map[string][]Replica)}
 }
 
-// Take puts a listing in force that was read from readAt on, and returns what
+// Update puts a listing in force that was read from readAt on, and returns what
 // has changed. An older listing than the last is dropped.
-func (s *Set) Take(l Listing, readAt, now boottime.Instant) []Change {
+func (s *Set) Update(l Listing, readAt, now boottime.Instant) []Change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.Revision < s.listing.Revision {
@@ -88,16 +88,16 @@
 		old, had := s.known[id]
 		switch {
 		case !had:
-			changes = append(changes, Change{Replica: r, Kind: Appeared})
+			changes = append(changes, Change{Replica: r, Kind: Added})
 		case r.StartedAt != old.StartedAt:
-			changes = append(changes, Change{Replica: old, Kind: Gone}, Change{Replica: r, Kind: Appeared})
+			changes = append(changes, Change{Replica: old, Kind: Removed}, Change{Replica: r, Kind: Added})
 		case r.Draining && !old.Draining:
 			changes = append(changes, Change{Replica: r, Kind: StartedDraining})
 		}
 	}
 	for id, r := range s.known {
 		if _, has := next[id]; !has {
-			changes = append(changes, Change{Replica: r, Kind: Gone})
+			changes = append(changes, Change{Replica: r, Kind: Removed})
 		}
 	}
 	if maps.Equal(s.known, next) {
@@ -119,9 +119,9 @@
 	return grouped
 }
 
-// Of returns the upstream's replicas, draining ones included. The slice is
+// ForUpstream returns the upstream's replicas, draining ones included. The slice is
 // shared and not to be changed.
-func (s *Set) Of(upstream string) []Replica {
+func (s *Set) ForUpstream(upstream string) []Replica {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.byUpstream[upstream]
@@ -135,8 +135,8 @@
 	return ok && !r.Draining
 }
 
-// Has says whether the process of a replica is known.
-func (s *Set) Has(id string, startedAt int64) bool {
+// HasProcess says whether the process of a replica is known.
+func (s *Set) HasProcess(id string, startedAt int64) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	r, ok := s.known[id]
@@ -151,8 +151,8 @@
 	return s.listing, s.readAt
 }
 
-// Known says whether a listing was taken.
-func (s *Set) Known() bool {
+// HasListing says whether a listing was taken.
+func (s *Set) HasListing() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.readAt != 0
--- a/internal/replica/set_test.go
+++ b/internal/replica/set_test.go
@@ -21,7 +21,7 @@
 
 func ids(s *Set) []string {
 	var list []string
-	for _, r := range s.Of("u") {
+	for _, r := range s.ForUpstream("u") {
 		list = append(list, r.ID)
 	}
 	return list
@@ -29,25 +29,25 @@
 
 func TestAMissingReplicaIsGoneAtOnce(t *testing.T) {
 	s := NewSet()
-	s.Take(listing(1, "a", "b"), at(1000), at(1010))
-	changes := s.Take(listing(2, "a"), at(1600), at(1610))
+	s.Update(listing(1, "a", "b"), at(1000), at(1010))
+	changes := s.Update(listing(2, "a"), at(1600), at(1610))
 	if !slices.Equal(ids(s), []string{"a"}) || s.Usable("b") {
 		t.Errorf("replicas %v", ids(s))
 	}
-	if len(changes) != 1 || changes[0].Kind != Gone || changes[0].Replica.ID != "b" {
+	if len(changes) != 1 || changes[0].Kind != Removed || changes[0].Replica.ID != "b" {
 		t.Errorf("changes %v", changes)
 	}
 }
 
 func TestReplicasThatLapsedInAnOutageAreKeptForAWhile(t *testing.T) {
 	s := NewSet()
-	s.Take(listing(1, "a", "b", "c"), at(1000), at(1010))
-	s.Take(listing(2, "a"), at(7000), at(7010))
+	s.Update(listing(1, "a", "b", "c"), at(1000), at(1010))
+	s.Update(listing(2, "a"), at(7000), at(7010))
 	if !slices.Equal(ids(s), []string{"a", "b", "c"}) {
 		t.Errorf("just after the outage: %v", ids(s))
 	}
-	s.Take(listing(3, "a", "b"), at(8000), at(8010))
-	s.Take(listing(4, "a", "b"), at(9020), at(9030))
+	s.Update(listing(3, "a", "b"), at(8000), at(8010))
+	s.Update(listing(4, "a", "b"), at(9020), at(9030))
 	if !slices.Equal(ids(s), []string{"a", "b"}) {
 		t.Errorf("two seconds after the outage: %v, want c gone", ids(s))
 	}
@@ -55,18 +55,18 @@
 
 func TestAnOlderListingChangesNothing(t *testing.T) {
 	s := NewSet()
-	s.Take(listing(5, "a", "b"), at(1000), at(1010))
-	if changes := s.Take(listing(4, "a"), at(1100), at(1110)); changes != nil || len(ids(s)) != 2 {
+	s.Update(listing(5, "a", "b"), at(1000), at(1010))
+	if changes := s.Update(listing(4, "a"), at(1100), at(1110)); changes != nil || len(ids(s)) != 2 {
 		t.Errorf("changes %v, replicas %v", changes, ids(s))
 	}
 }
 
 func TestADrainingReplicaIsKnownButNotUsable(t *testing.T) {
 	s := NewSet()
-	s.Take(listing(1, "a"), at(1000), at(1010))
+	s.Update(listing(1, "a"), at(1000), at(1010))
 	draining := listing(2, "a")
 	draining.Replicas[0].Draining = true
-	changes := s.Take(draining, at(1500), at(1510))
+	changes := s.Update(draining, at(1500), at(1510))
 	if s.Usable("a") || len(ids(s)) != 1 || len(changes) != 1 || changes[0].Kind != StartedDraining {
 		t.Errorf("usable %v, replicas %v, changes %v", s.Usable("a"), ids(s), changes)
 	}
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -121,7 +121,7 @@
 			p.queue.RemoveClass(name)
 		}
 	}
-	p.lengths.SetClasses(func(class string) bool { return p.classes[class] != nil })
+	p.lengths.RetainClasses(func(class string) bool { return p.classes[class] != nil })
 }
 
 // SetWeights puts the workspaces' fair shares in force.
--- a/internal/router/pool_choose.go
+++ b/internal/router/pool_choose.go
@@ -20,8 +20,8 @@
 		p.candidates = append(p.candidates, p.candidate(now, request, r))
 	}
 	need := balancer.Need{
-		Prefill: p.speed.Service(request.PromptTokens, 0),
-		Answer:  p.speed.Service(0, p.length(request, estimate.Median, usualTokens)),
+		Prefill: p.speed.ServiceTime(request.PromptTokens, 0),
+		Answer:  p.speed.ServiceTime(0, p.length(request, estimate.Median, usualTokens)),
 	}
 	chosen := p.balancer.Choose(need, p.candidates)
 	return free[chosen], choiceOf(&p.candidates[chosen], len(free))
--- a/internal/router/pool_item.go
+++ b/internal/router/pool_item.go
@@ -47,7 +47,7 @@
 
 // service estimates how long the request would run.
 func (p *Pool) service(request *Request, quantile int) time.Duration {
-	return p.speed.Service(request.PromptTokens, p.length(request, quantile, 0))
+	return p.speed.ServiceTime(request.PromptTokens, p.length(request, quantile, 0))
 }
 
 // latestStart is the latest start expected to meet the request's targets.
@@ -62,7 +62,7 @@
 	if request.FirstTokenBy.IsZero() {
 		return latest
 	}
-	prefill := p.speed.Service(request.PromptTokens, 0)
+	prefill := p.speed.ServiceTime(request.PromptTokens, 0)
 	first := startBy(request.Arrived, request.FirstTokenBy, prefill)
 	if first.Before(latest) {
 		return first
--- a/internal/router/pool_pace.go
+++ b/internal/router/pool_pace.go
@@ -21,7 +21,7 @@
 	p.comparedAt = now
 	p.usual = p.median(func(r *replicaState) float64 { return r.pace.Average() })
 	p.reference = p.median(func(r *replicaState) float64 { return r.floor.Value() })
-	p.speed.SetToken(p.usual)
+	p.speed.SetTokenTime(p.usual)
 	if p.without.Stragglers {
 		return
 	}
--- a/internal/router/pool_progress.go
+++ b/internal/router/pool_progress.go
@@ -32,11 +32,11 @@
 		return
 	}
 	if r.cached == 0 {
-		p.speed.Prefill(request.PromptTokens, took)
+		p.speed.ObservePrefill(request.PromptTokens, took)
 		p.longestPrefill = max(p.longestPrefill-p.longestPrefill/prefillMemory, took)
 		return
 	}
-	whole := p.speed.Service(request.PromptTokens, 0)
+	whole := p.speed.ServiceTime(request.PromptTokens, 0)
 	if whole <= 0 {
 		return
 	}
