--- a/internal/capacity/full.go
+++ b/internal/capacity/full.go
@@ -38,7 +38,7 @@
 	defer l.close()
 	err = l.makeAll(ctx, maxClaims)
 	var refused *refusal.Error
-	if errors.As(err, &refused) && refused.Reason == refusal.ClaimLedger {
+	if errors.As(err, &refused) && refused.Reason == refusal.ClaimLedgerFull {
 		return l.next.Load(), nil
 	}
 	return 0, err
--- a/internal/claim/apply_test.go
+++ b/internal/claim/apply_test.go
@@ -52,8 +52,8 @@
 		{"repeat of an unknown", phaseUnknown, 2, modelContent, true, Unknown, "", phaseUnknown},
 		{"repeat of a released", phaseReleased, 2, modelContent, false, Run, "", phaseInProgress},
 		{"late copy of a released attempt", phaseReleased, 1, modelContent, false, 0, refusal.ClaimStoreDown, phaseReleased},
-		{"other content meanwhile", phaseInProgress, 2, other, false, 0, refusal.IdempotencyReuse, phaseInProgress},
-		{"other content after the record", phaseRecorded, 2, other, false, 0, refusal.IdempotencyReuse, phaseRecorded},
+		{"other content meanwhile", phaseInProgress, 2, other, false, 0, refusal.IdempotencyKeyReused, phaseInProgress},
+		{"other content after the record", phaseRecorded, 2, other, false, 0, refusal.IdempotencyKeyReused, phaseRecorded},
 		{"other content after a release", phaseReleased, 2, other, false, Run, "", phaseInProgress},
 	}
 	for _, test := range cases {
--- a/internal/claim/begin.go
+++ b/internal/claim/begin.go
@@ -37,7 +37,7 @@
 		return c.claim(state)
 	}
 	if !c.Content.matches(state.GetFingerprint()) {
-		return state, Decision{Refused: refusal.IdempotencyReuse}
+		return state, Decision{Refused: refusal.IdempotencyKeyReused}
 	}
 	switch state.GetPhase() {
 	case claimv1.Phase_PHASE_IN_PROGRESS:
--- a/internal/claim/claimrpc/claimrpc_test.go
+++ b/internal/claim/claimrpc/claimrpc_test.go
@@ -53,7 +53,7 @@
 	replies := map[string]claim.BeginReply{
 		"run":      {Verdict: claim.Run},
 		"recorded": {Verdict: claim.Recorded, Answer: claim.Answer{Status: 201, Header: http.Header{"A": {"1", "2"}}, Body: []byte("b")}},
-		"refused":  {Refused: refusal.ClaimLedger},
+		"refused":  {Refused: refusal.ClaimLedgerFull},
 		"elsewhere, remembered": {
 			Verdict: claim.Unknown, NotHolder: true, Hint: claim.Hint{Holder: "n2", Epoch: 7},
 		},
--- a/internal/claim/fakecall_test.go
+++ b/internal/claim/fakecall_test.go
@@ -91,7 +91,7 @@
 	if refused.Outcome != refusal.NotRun {
 		t.Errorf("refusal %v has outcome %s", refused, refused.Outcome)
 	}
-	if runsBefore > 0 && refused.Reason != refusal.IdempotencyReuse {
+	if runsBefore > 0 && refused.Reason != refusal.IdempotencyKeyReused {
 		t.Errorf("%v had run, yet a repeat was told not-run: %v", key, refused)
 	}
 	return toldNotRun
--- a/internal/claim/key.go
+++ b/internal/claim/key.go
@@ -21,7 +21,7 @@
 // Check refuses a key that cannot be claimed.
 func (k Key) Check() *refusal.Error {
 	if k.IdempotencyKey == "" {
-		return refusal.New(refusal.IdempotencyNeeds, stepCheck, "the call may not be repeated and needs an Idempotency-Key")
+		return refusal.New(refusal.IdempotencyKeyRequired, stepCheck, "the call may not be repeated and needs an Idempotency-Key")
 	}
 	if len(k.IdempotencyKey) > MaxIdempotencyKeyBytes {
 		return refusal.BadField("Idempotency-Key", k.IdempotencyKey, "longer than 255 bytes")
--- a/internal/claim/known_test.go
+++ b/internal/claim/known_test.go
@@ -38,7 +38,7 @@
 			}
 		}
 		_, _, err = nodes[0].Known(t.Context(), oneKey, FingerprintOf("POST", "/claims", []byte("other")))
-		if refused := refusal.From(err); err == nil || refused.Reason != refusal.IdempotencyReuse {
+		if refused := refusal.From(err); err == nil || refused.Reason != refusal.IdempotencyKeyReused {
 			t.Errorf("another content got %v", err)
 		}
 	})
--- a/internal/claim/ledger.go
+++ b/internal/claim/ledger.go
@@ -8,8 +8,8 @@
 	// Begin claims the call. Every error is a *refusal.Error. This request is
 	// then not sent; its outcome is not-run where no earlier request of the
 	// key has run either, else unknown: ClaimStoreDown when the claim could
-	// not be made durable in time, ClaimLedger when the ledger is full, IdempotencyReuse when the key
-	// was used with another content, IdempotencyNeeds or BadRequest for a key
+	// not be made durable in time, ClaimLedgerFull when the ledger is full, IdempotencyKeyReused when the key
+	// was used with another content, IdempotencyKeyRequired or BadRequest for a key
 	// that cannot be claimed. Nothing may be sent unless the verdict is Run.
 	Begin(ctx context.Context, key Key, content Fingerprint) (Grant, error)
 	// Known is Begin for a call that may not start now: it answers a repeat of
--- a/internal/claim/node.go
+++ b/internal/claim/node.go
@@ -161,11 +161,11 @@
 // shard: where it refuses a new one, no earlier request of the key has run.
 func refusedBy(reason refusal.Reason, key Key) *refusal.Error {
 	switch reason {
-	case refusal.IdempotencyReuse:
+	case refusal.IdempotencyKeyReused:
 		refused := refusal.New(reason, stepClaim, "the key was used with another method, path or body")
 		refused.Field, refused.Value = "Idempotency-Key", key.IdempotencyKey
 		return refused
-	case refusal.ClaimLedger:
+	case refusal.ClaimLedgerFull:
 		refused := refusal.New(reason, stepClaim, "the ledger of unrepeatable calls is full")
 		refused.RetryAfter = fullRetryAfter
 		return refused
--- a/internal/claim/outage_test.go
+++ b/internal/claim/outage_test.go
@@ -110,7 +110,7 @@
 		for ; number < 10_000; number++ {
 			_, err := nodes[1].Begin(t.Context(), keyNumber(number), Fingerprint{})
 			if err != nil {
-				if refused := refusal.From(err); refused.Reason != refusal.ClaimLedger || refused.RetryAfter == 0 {
+				if refused := refusal.From(err); refused.Reason != refusal.ClaimLedgerFull || refused.RetryAfter == 0 {
 					t.Errorf("the full ledger refused with %v", refused)
 				}
 				break
--- a/internal/claim/ring_test.go
+++ b/internal/claim/ring_test.go
@@ -189,7 +189,7 @@
 	if fill := b.ring.fill(); fill < 1 {
 		t.Errorf("the fill is %v, yet no claims are taken", fill)
 	}
-	if got := b.begin(keyNumber(claimed), attemptNumber(claimed), refusal.ClaimLedger); got.Refused != refusal.ClaimLedger {
+	if got := b.begin(keyNumber(claimed), attemptNumber(claimed), refusal.ClaimLedgerFull); got.Refused != refusal.ClaimLedgerFull {
 		t.Errorf("a claim past the bound got %+v", got)
 	}
 	for n := range claimed {
@@ -198,7 +198,7 @@
 	}
 	b.recover(policy, 2)
 	for n := range claimed {
-		if got := b.begin(keyNumber(n), uuid.New(), refusal.ClaimLedger); got.Verdict != Recorded {
+		if got := b.begin(keyNumber(n), uuid.New(), refusal.ClaimLedgerFull); got.Verdict != Recorded {
 			t.Fatalf("claim %d of %d in a full ledger got %+v", n, claimed, got)
 		}
 	}
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -123,7 +123,7 @@
 // has run, which only the shard's one holder knows.
 func refusesNew(decision Decision) bool {
 	switch decision.Refused {
-	case refusal.ClaimStoreDown, refusal.ClaimLedger, refusal.QuotaExceeded:
+	case refusal.ClaimStoreDown, refusal.ClaimLedgerFull, refusal.QuotaExceeded:
 		return true
 	}
 	return false
@@ -174,7 +174,7 @@
 		s.signal()
 	}
 	if s.ring.full() {
-		return refusal.ClaimLedger
+		return refusal.ClaimLedgerFull
 	}
 	return ""
 }
--- a/internal/claim/short_test.go
+++ b/internal/claim/short_test.go
@@ -30,9 +30,9 @@
 		refused refusal.Reason
 	}{
 		{"recorded", phaseRecorded, Fingerprint{}, Recorded, ""},
-		{"recorded, other content", phaseRecorded, modelContent, 0, refusal.IdempotencyReuse},
+		{"recorded, other content", phaseRecorded, modelContent, 0, refusal.IdempotencyKeyReused},
 		{"unknown", phaseUnknown, Fingerprint{}, Unknown, ""},
-		{"unknown, other content", phaseUnknown, modelContent, 0, refusal.IdempotencyReuse},
+		{"unknown, other content", phaseUnknown, modelContent, 0, refusal.IdempotencyKeyReused},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -157,8 +157,8 @@
 	probe := func(ctx context.Context, r replica.Replica) error { return n.conns.Probe(ctx, r.ID, r.Address) }
 	forwarder := forward.New(forward.Options{
 		Placer: n.placer, Replicas: n.replicas, Conns: n.conns, Codec: n.options.Codec,
-		Budget: n.budget, Crashes: forward.NewCrashes(tracker, probe, n.log), Limits: n.rates.limits, Permits: n.rates.permits, Log: n.log, Registry: n.registry,
-		Began: n.duties.began(),
+		Budget: n.budget, CrashGuard: forward.NewCrashGuard(tracker, probe, n.log), RateLimits: n.rates.limits, Permits: n.rates.permits, Log: n.log, Registry: n.registry,
+		OnRun: n.duties.began(),
 	})
 	return passthrough.New(passthrough.Options{
 		Routes: n.routes, Forwarder: forwarder, Codec: n.options.Codec, Clock: n.options.Clock,
--- a/internal/faultrun/judge.go
+++ b/internal/faultrun/judge.go
@@ -93,7 +93,7 @@
 		detail := fmt.Sprintf("said to be not run, has %d runs", j.truth.byRequest[t.RequestID])
 		list = append(list, violation(promiseNotRun, t, detail))
 	}
-	if t.Reason == string(refusal.ShedForHigher) && j.tiers[t.Offer.Stream.Class] == 0 {
+	if t.Reason == string(refusal.ShedForHigherTier) && j.tiers[t.Offer.Stream.Class] == 0 {
 		list = append(list, violation(promiseTier, t, "shed for a higher tier, but none is above it"))
 	}
 	return list
--- a/internal/faultrun/judge_test.go
+++ b/internal/faultrun/judge_test.go
@@ -80,7 +80,7 @@
 		{"broken by a killed node", cut, killed, ""},
 		{"broken by a planned stop", cut, stopped, promiseStop},
 		{"refusal without outcome", load.Attempt{Ending: load.EndingRefused, Status: 503}, nil, promiseNotRun},
-		{"shed at the top", load.Attempt{Ending: load.EndingRefused, Outcome: "not-run", Reason: string(refusal.ShedForHigher)}, nil, promiseTier},
+		{"shed at the top", load.Attempt{Ending: load.EndingRefused, Outcome: "not-run", Reason: string(refusal.ShedForHigherTier)}, nil, promiseTier},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -35,7 +35,7 @@
 	place    *placement.Attempt
 	conn     *replicaconn.Conn
 	response *http.Response
-	headers  AnswerHeaders
+	headers  ResponseHeaders
 	// sentAt is when the call began to be sent.
 	sentAt boottime.Instant
 	// foreign says that answers to other attempts came on the connection.
@@ -60,9 +60,9 @@
 	e.replica = place.Replica.ID
 	listing, _ := e.forwarder.options.Replicas.Latest()
 	e.forwarder.options.Log.Write(&attemptStarted{exchange: e, place: place, revision: listing.Revision})
-	run := e.forwarder.options.Crashes.start(place.Replica, e.fingerprint)
+	run := e.forwarder.options.CrashGuard.start(place.Replica, e.fingerprint)
 	failure = a.run()
-	e.forwarder.options.Crashes.end(run, place.Replica, failure)
+	e.forwarder.options.CrashGuard.end(run, place.Replica, failure)
 	result := placement.Answered
 	if failure != nil {
 		result = failure.Result
@@ -159,9 +159,9 @@
 	e := a.exchange
 	if !e.counted {
 		e.counted = true
-		e.forwarder.options.Budget.Request(time.Now(), e.call.Upstream)
+		e.forwarder.options.Budget.CountRequest(time.Now(), e.call.Upstream)
 	}
-	a.sentAt = e.forwarder.options.Limits.Now()
+	a.sentAt = e.forwarder.options.RateLimits.Now()
 	if err := a.conn.Send(a.message()); err != nil {
 		return a.failed(stepSend, err)
 	}
@@ -180,13 +180,13 @@
 		Target: c.Target,
 		Host:   c.Host,
 		Body:   c.Body,
-		Header: a.exchange.forwarder.options.Codec.Attempt(c.Header, AttemptHeaders{
-			Remaining: time.Until(c.Deadline),
-			Replica:   a.place.Replica.ID,
-			Workspace: c.workspace(),
-			Rank:      c.Rank,
-			LastEvent: a.exchange.lastEvent,
-			CopyFrom:  a.place.CopyFrom,
+		Header: a.exchange.forwarder.options.Codec.EncodeAttempt(c.Header, AttemptHeaders{
+			Remaining:   time.Until(c.Deadline),
+			Replica:     a.place.Replica.ID,
+			Workspace:   c.workspace(),
+			Rank:        c.Rank,
+			LastEventID: a.exchange.lastEvent,
+			CopyFrom:    a.place.CopyFrom,
 		}),
 	}
 }
@@ -201,7 +201,7 @@
 			return a.failed(stepHead, err)
 		}
 		a.response = response
-		a.headers = a.exchange.forwarder.options.Codec.Answer(response.Header)
+		a.headers = a.exchange.forwarder.options.Codec.DecodeResponse(response.Header)
 		if a.headers.ID == c.ID || (a.headers.ID == "" && refuses(response, a.headers)) {
 			return nil
 		}
@@ -220,10 +220,10 @@
 		// Another process answered.
 		return
 	}
-	limit, changed := f.options.Limits.Answered(ratelimit.Answer{
+	limit, changed := f.options.RateLimits.Answered(ratelimit.Answer{
 		Replica: a.place.Replica, Limited: a.headers.RateLimited, PerSecond: a.headers.RateLimit,
 		Succeeded: a.headers.Stamped && a.response.StatusCode < http.StatusMultipleChoices,
-		SentAt:    a.sentAt, At: f.options.Limits.Now(),
+		SentAt:    a.sentAt, At: f.options.RateLimits.Now(),
 	})
 	if changed {
 		f.options.Log.Write(&ratelimit.Changed{Limit: limit, Request: a.exchange.call.ID})
@@ -232,21 +232,21 @@
 
 // refuses says whether the answer is one that a replica gives before it has
 // read whose call it is.
-func refuses(r *http.Response, h AnswerHeaders) bool {
+func refuses(r *http.Response, h ResponseHeaders) bool {
 	return h.NotExecuted || r.StatusCode == http.StatusMisdirectedRequest
 }
 
 // failed is the failure of an attempt whose connection or answer went wrong.
 func (a *attempt) failed(step string, cause error) *Failure {
 	f := &Failure{
-		Result:  placement.Broken,
-		Arrived: a.conn.Sent(),
-		NotRun:  !a.conn.Sent(),
-		Step:    step,
-		Peer:    a.place.Replica.Address,
-		Cause:   cause,
+		Result:         placement.Broken,
+		ReachedReplica: a.conn.Sent(),
+		NotRun:         !a.conn.Sent(),
+		Step:           step,
+		Peer:           a.place.Replica.Address,
+		Cause:          cause,
 	}
-	if f.Arrived && !a.exchange.call.Route.Streaming {
+	if f.ReachedReplica && !a.exchange.call.Route.Streaming {
 		// A plain service works on what it has read at once; a stream begins to run
 		// with its first event.
 		a.exchange.ran()
@@ -254,7 +254,7 @@
 	// Where this side closed the connection, the reason for it is the cause.
 	switch {
 	case a.impatient.Load():
-		f.Result, f.Cause, f.Prepaid = placement.Silent, errSilent, true
+		f.Result, f.Cause, f.RetryReserved = placement.Silent, errSilent, true
 	case a.exchange.caller.Err() != nil:
 		f.Result, f.Cause = placement.Cancelled, errCallerGone
 	case a.exchange.ctx.Err() != nil && a.exchange.firstByte.IsZero():
@@ -295,7 +295,7 @@
 		result = placement.Replaced
 	}
 	return &Failure{
-		Result: result, NotRun: true, Arrived: true, Step: stepAnswer, Peer: a.place.Replica.Address,
+		Result: result, NotRun: true, ReachedReplica: true, Step: stepAnswer, Peer: a.place.Replica.Address,
 		Cause: fmt.Errorf("not executed: status %d", a.response.StatusCode),
 	}
 }
@@ -312,7 +312,7 @@
 	a.place.Responded(time.Now())
 	a.exchange.ran()
 	return &Failure{
-		Result: placement.Errored, Arrived: true, Step: stepAnswer, Peer: a.place.Replica.Address,
+		Result: placement.Errored, ReachedReplica: true, Step: stepAnswer, Peer: a.place.Replica.Address,
 		Status: a.response.StatusCode, Header: a.response.Header, Body: body,
 	}
 }
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -46,9 +46,9 @@
 
 // placementRequest is what a choice of a replica needs to know.
 func (c *Call) placementRequest() placement.Request {
-	r := placement.Request{Class: c.Route.Name, Rank: c.Rank, PromptTokens: c.Prompt.Tokens, MemoryTokens: c.MemoryTokens, CopiesPrompts: c.CopiesPrompts, AnswerTokens: c.Prompt.AnswerHint}
+	r := placement.Request{Class: c.Route.Name, Rank: c.Rank, PromptTokens: c.Prompt.Tokens, MemoryTokens: c.MemoryTokens, CopiesPrompts: c.CopiesPrompts, AnswerTokens: c.Prompt.ExpectedAnswerTokens}
 	if r.AnswerTokens == 0 {
-		r.AnswerTokens = c.Prompt.MaxAnswer
+		r.AnswerTokens = c.Prompt.MaxAnswerTokens
 	}
 	if n := len(c.Prompt.Parts); n > 1 {
 		r.Shared = c.Prompt.Parts[:n-1]
--- a/internal/forward/codec.go
+++ b/internal/forward/codec.go
@@ -9,16 +9,16 @@
 
 // Codec names the headers of a wire format.
 type Codec interface {
-	// Caller decodes what a caller's headers say.
-	Caller(h http.Header) CallerHeaders
-	// Attempt returns the headers that go to a replica: the caller's, but for
+	// DecodeCaller decodes what a caller's headers say.
+	DecodeCaller(h http.Header) CallerHeaders
+	// EncodeAttempt returns the headers that go to a replica: the caller's, but for
 	// those of its connection and those that are the system's to set.
-	Attempt(caller http.Header, a AttemptHeaders) http.Header
-	// Answer decodes what a replica's headers say.
-	Answer(h http.Header) AnswerHeaders
-	// WithoutStamp removes the replica's mark from the headers of an answer
+	EncodeAttempt(caller http.Header, a AttemptHeaders) http.Header
+	// DecodeResponse decodes what a replica's headers say.
+	DecodeResponse(h http.Header) ResponseHeaders
+	// RemoveStamp removes the replica's mark from the headers of an answer
 	// that is not passed on as the replica gave it.
-	WithoutStamp(h http.Header)
+	RemoveStamp(h http.Header)
 }
 
 // CallerHeaders is what a caller's headers say.
@@ -27,21 +27,21 @@
 	ID string
 	// Key is the caller's credential.
 	Key string
-	// Patience is how long the caller waits; zero where it does not say.
-	Patience time.Duration
+	// Timeout is how long the caller waits; zero where it does not say.
+	Timeout time.Duration
 	// Prompt describes a call of an engine.
 	Prompt Prompt
-	// LastEvent is the last event that the caller has of a stream it resumes.
-	LastEvent string
+	// LastEventID is the last event that the caller has of a stream it resumes.
+	LastEventID string
 }
 
 // Prompt is what a caller says of its prompt.
 type Prompt struct {
-	// Tokens is the prompt's length, MaxAnswer the answer's largest one.
-	Tokens    int
-	MaxAnswer int
-	// AnswerHint is the caller's estimate of the answer's length; zero: none.
-	AnswerHint int
+	// Tokens is the prompt's length, MaxAnswerTokens the answer's largest one.
+	Tokens          int
+	MaxAnswerTokens int
+	// ExpectedAnswerTokens is the caller's estimate of the answer's length; zero: none.
+	ExpectedAnswerTokens int
 	// Parts are the prompt's parts in order; the last is the call's own.
 	Parts []placement.Part
 }
@@ -59,12 +59,12 @@
 	Workspace string
 	// Rank is the urgency; 0 is the most urgent.
 	Rank int
-	// LastEvent resumes a stream behind this event; empty: from its start.
-	LastEvent string
+	// LastEventID resumes a stream behind this event; empty: from its start.
+	LastEventID string
 }
 
-// AnswerHeaders is what a replica's headers say.
-type AnswerHeaders struct {
+// ResponseHeaders is what a replica's headers say.
+type ResponseHeaders struct {
 	// ID is the attempt that is answered; empty where the replica does not say.
 	ID string
 	// Stamped says that the answer bears the replica's mark.
--- a/internal/forward/crashes.go
+++ b/internal/forward/crashes.go
@@ -12,9 +12,9 @@
 	"galenatrestle/internal/replica"
 )
 
-// Crashes keeps calls that crash the replicas which run them from taking one
+// CrashGuard keeps calls that crash the replicas which run them from taking one
 // replica after the other. It is safe for concurrent use.
-type Crashes struct {
+type CrashGuard struct {
 	tracker *quarantine.Tracker
 	running *quarantine.Running
 	// probe connects to a replica; an error says why it cannot be reached.
@@ -22,20 +22,20 @@
 	log   *eventlog.Log
 }
 
-// NewCrashes returns a guard that shares its tracker with other nodes.
-func NewCrashes(tracker *quarantine.Tracker, probe func(context.Context, replica.Replica) error, log *eventlog.Log) *Crashes {
-	return &Crashes{tracker: tracker, running: quarantine.NewRunning(), probe: probe, log: log}
+// NewCrashGuard returns a guard that shares its tracker with other nodes.
+func NewCrashGuard(tracker *quarantine.Tracker, probe func(context.Context, replica.Replica) error, log *eventlog.Log) *CrashGuard {
+	return &CrashGuard{tracker: tracker, running: quarantine.NewRunning(), probe: probe, log: log}
 }
 
 // refuses says whether the call is known to crash replicas, and for how long it
 // is refused.
-func (c *Crashes) refuses(now time.Time, fp quarantine.Fingerprint) (time.Duration, bool) {
+func (c *CrashGuard) refuses(now time.Time, fp quarantine.Fingerprint) (time.Duration, bool) {
 	verdict, left := c.tracker.Decide(now, fp)
 	return left, verdict == quarantine.Refuse
 }
 
 // start notes that the call runs on the replica.
-func (c *Crashes) start(r replica.Replica, fp quarantine.Fingerprint) *quarantine.Run {
+func (c *CrashGuard) start(r replica.Replica, fp quarantine.Fingerprint) *quarantine.Run {
 	// Suspects are not kept apart: a second crash names the one that ran in both.
 	run, _ := c.running.Start(r.ID, fp, quarantine.Normal)
 	return run
@@ -46,14 +46,14 @@
 
 // end notes how the run ended. A lost connection is a crash only if the replica
 // takes no new one: connections are also lost on the way.
-func (c *Crashes) end(run *quarantine.Run, r replica.Replica, f *Failure) {
+func (c *CrashGuard) end(run *quarantine.Run, r replica.Replica, f *Failure) {
 	if f == nil {
 		c.running.Answered(run)
 		c.running.Finish(run)
 		c.tracker.Finished(time.Now(), run.Fingerprint)
 		return
 	}
-	if f.Result != placement.Broken || !f.Arrived {
+	if f.Result != placement.Broken || !f.ReachedReplica {
 		c.running.Finish(run)
 		return
 	}
@@ -61,7 +61,7 @@
 }
 
 // look finds out whether the replica of a run whose connection broke is gone.
-func (c *Crashes) look(run *quarantine.Run, r replica.Replica) {
+func (c *CrashGuard) look(run *quarantine.Run, r replica.Replica) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	err := c.probe(ctx, r)
--- a/internal/forward/ending.go
+++ b/internal/forward/ending.go
@@ -5,8 +5,8 @@
 
 // The endings.
 const (
-	// EndedWhole calls got a whole answer.
-	EndedWhole Ending = "whole"
+	// EndedComplete calls got a whole answer.
+	EndedComplete Ending = "whole"
 	// EndedReplicaFailure calls got a failure that the replica gave.
 	EndedReplicaFailure Ending = "replica_failure"
 	// EndedRefused calls were told that they were not run.
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -23,7 +23,7 @@
 
 // Level implements eventlog.Event.
 func (ev *answerEnded) Level() eventlog.Level {
-	if ev.ending == EndedWhole {
+	if ev.ending == EndedComplete {
 		return eventlog.Routine
 	}
 	return eventlog.Notable
@@ -40,7 +40,7 @@
 		fields["first_byte_ms"] = e.firstByte.Sub(e.call.Arrived).Milliseconds()
 		fields["longest_pause_ms"] = e.longestPause.Milliseconds()
 	}
-	if ev.ending != EndedWhole && e.last != nil {
+	if ev.ending != EndedComplete && e.last != nil {
 		fields["error"] = e.last.Error()
 	}
 	return fields
@@ -100,7 +100,7 @@
 	fields := e.fields()
 	fields["retry"] = ev.reason == ""
 	fields["reason"] = ev.reason
-	fields["budget_left"] = e.forwarder.options.Budget.Left(time.Now(), e.call.Upstream)
+	fields["budget_left"] = e.forwarder.options.Budget.Remaining(time.Now(), e.call.Upstream)
 	return fields
 }
 
@@ -155,7 +155,7 @@
 		"cost_ms": int(c.Cost), "wait_ms": c.Wait.Milliseconds(), "memory_used": hundredths(c.Used), "among": c.Among, "running": c.Running, "to_read": c.ToRead, "ahead": c.Ahead,
 		"cached": c.Cached, "copy_from": ev.place.CopyFrom, "failures": hundredths(c.Failures), "read_speed": hundredths(c.ReadSpeed), "replicas_revision": ev.revision,
 	}
-	if limit, limited := ev.exchange.forwarder.options.Limits.InForce()[ev.place.Replica.ID]; limited {
+	if limit, limited := ev.exchange.forwarder.options.RateLimits.InForce()[ev.place.Replica.ID]; limited {
 		fields["rate_limit"] = limit.PerSecond
 	}
 	return fields
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -60,14 +60,14 @@
 
 // run makes attempts until the answer is whole or none is left to make.
 func (e *exchange) run() Ending {
-	if left, refused := e.forwarder.options.Crashes.refuses(time.Now(), e.fingerprint); refused {
+	if left, refused := e.forwarder.options.CrashGuard.refuses(time.Now(), e.fingerprint); refused {
 		e.outlet.notRun(left)
 		return EndedQuarantined
 	}
 	for {
 		failure := e.try()
 		if failure == nil {
-			return EndedWhole
+			return EndedComplete
 		}
 		e.last = failure
 		e.note(failure)
@@ -79,7 +79,7 @@
 
 // note counts a failed attempt.
 func (e *exchange) note(f *Failure) {
-	if f.Arrived {
+	if f.ReachedReplica {
 		e.arrivals++
 	}
 	if !f.NotRun {
@@ -92,7 +92,7 @@
 // taken from the retry budget.
 func (e *exchange) again(f *Failure) bool {
 	reason := e.refuseAgain(f)
-	if reason == "" && e.arrivals > 0 && !f.Prepaid && !e.forwarder.options.Budget.Take(time.Now(), e.call.Upstream) {
+	if reason == "" && e.arrivals > 0 && !f.RetryReserved && !e.forwarder.options.Budget.Take(time.Now(), e.call.Upstream) {
 		reason = noBudget
 	}
 	e.forwarder.metrics.decided(f, reason)
@@ -102,11 +102,11 @@
 
 // ran counts the call, once, as one that a replica began to run.
 func (e *exchange) ran() {
-	if e.metered || e.forwarder.options.Began == nil {
+	if e.metered || e.forwarder.options.OnRun == nil {
 		return
 	}
 	e.metered = true
-	e.forwarder.options.Began(e.call.workspace())
+	e.forwarder.options.OnRun(e.call.workspace())
 }
 
 // refuseAgain returns why no further attempt may be made; empty: it may.
--- a/internal/forward/failure.go
+++ b/internal/forward/failure.go
@@ -14,10 +14,10 @@
 	Result placement.Result
 	// NotRun says that the replica certainly did not run the call.
 	NotRun bool
-	// Arrived says that the replica got the call, which counts as load there.
-	Arrived bool
-	// Prepaid says that the retry budget has given an attempt in its place.
-	Prepaid bool
+	// ReachedReplica says that the replica got the call, which counts as load there.
+	ReachedReplica bool
+	// RetryReserved says that the retry budget has given an attempt in its place.
+	RetryReserved bool
 	// Step and Peer are where it arose.
 	Step string
 	Peer string
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -88,7 +88,7 @@
 		list := replicas(answerOK)
 		f := forwardtest.NewFleet(t, list...)
 		w, ending := serve(t, f, call(route.AtMostOnce, 1))
-		if ending != forward.EndedWhole || w.Code != http.StatusOK || w.Body.String() != "done" || w.Header().Get(forwardtest.HeaderStamp) != "s1" {
+		if ending != forward.EndedComplete || w.Code != http.StatusOK || w.Body.String() != "done" || w.Header().Get(forwardtest.HeaderStamp) != "s1" {
 			t.Errorf("ending %s, status %d, body %q, header %v", ending, w.Code, w.Body, w.Header())
 		}
 		got := list[0].Requests()[0]
@@ -122,7 +122,7 @@
 	},
 	"answers to other calls only": func(c *forwardtest.Conn) bool {
 		for range 4 {
-			if !c.AnswerAs("other", http.StatusOK, "foreign") {
+			if !c.AnswerFor("other", http.StatusOK, "foreign") {
 				return false
 			}
 		}
@@ -141,7 +141,7 @@
 				}
 				list = replicas(script, answerOK)
 				w, ending = serve(t, forwardtest.NewFleet(t, list...), call(route.Idempotent, 2))
-				if ending != forward.EndedWhole || w.Body.String() != "done" || requests(list) != 2 {
+				if ending != forward.EndedComplete || w.Body.String() != "done" || requests(list) != 2 {
 					t.Errorf("idempotent: ending %s, body %q, %d requests", ending, w.Body, requests(list))
 				}
 			})
@@ -221,7 +221,7 @@
 func TestALateSecondAnswerIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := replicas(func(c *forwardtest.Conn) bool {
-			return c.AnswerAs("earlier", http.StatusOK, "not yours") && c.Answer(http.StatusOK, "yours")
+			return c.AnswerFor("earlier", http.StatusOK, "not yours") && c.Answer(http.StatusOK, "yours")
 		})
 		f := forwardtest.NewFleet(t, list...)
 		for range 2 {
@@ -229,8 +229,8 @@
 				t.Errorf("the caller got %q", w.Body)
 			}
 		}
-		if list[0].Opened() != 2 {
-			t.Errorf("%d connections: one with foreign answers was used again", list[0].Opened())
+		if list[0].ConnectionCount() != 2 {
+			t.Errorf("%d connections: one with foreign answers was used again", list[0].ConnectionCount())
 		}
 	})
 }
@@ -242,19 +242,19 @@
 		for range 3 {
 			serve(t, f, call(route.AtMostOnce, 1))
 		}
-		if list[0].Opened() != 1 {
-			t.Errorf("%d connections for three calls in turn", list[0].Opened())
+		if list[0].ConnectionCount() != 1 {
+			t.Errorf("%d connections for three calls in turn", list[0].ConnectionCount())
 		}
 	})
 }
 
 func TestAnAnswerBeforeTheBodyIsReadEndsTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list := []*forwardtest.Replica{forwardtest.NewReplica("i-0", upstream, answerOK).LeaveBodies()}
+		list := []*forwardtest.Replica{forwardtest.NewReplica("i-0", upstream, answerOK).NeverReadBodies()}
 		f := forwardtest.NewFleet(t, list...)
 		callTwiceWithLongBodies(t, f)
-		if list[0].Opened() != 2 {
-			t.Errorf("%d connections: a request followed the rest of another one's body", list[0].Opened())
+		if list[0].ConnectionCount() != 2 {
+			t.Errorf("%d connections: a request followed the rest of another one's body", list[0].ConnectionCount())
 		}
 	})
 }
@@ -263,7 +263,7 @@
 // the same connection or on another, but never within a body.
 func TestNoRequestFollowsABodyThatIsNotWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list := []*forwardtest.Replica{forwardtest.NewReplica("i-0", upstream, answerOK).BodiesAfterAnswers()}
+		list := []*forwardtest.Replica{forwardtest.NewReplica("i-0", upstream, answerOK).ReadBodiesAfterAnswers()}
 		f := forwardtest.NewFleet(t, list...)
 		callTwiceWithLongBodies(t, f)
 		got := list[0].Requests()
@@ -344,7 +344,7 @@
 		list := replicas(hang, answerOK)
 		began := time.Now()
 		w, ending := serve(t, forwardtest.NewFleet(t, list...), call(route.Idempotent, 2))
-		if ending != forward.EndedWhole || w.Body.String() != "done" || time.Since(began) != 200*time.Millisecond {
+		if ending != forward.EndedComplete || w.Body.String() != "done" || time.Since(began) != 200*time.Millisecond {
 			t.Errorf("ending %s, body %q after %s", ending, w.Body, time.Since(began))
 		}
 		if left := list[0].Requests()[0].Header.Get(forwardtest.HeaderRemaining) + list[1].Requests()[0].Header.Get(forwardtest.HeaderRemaining); left != "1000800" && left != "8001000" {
@@ -363,7 +363,7 @@
 		for f.Budget.Take(time.Now(), upstream) {
 		}
 		w, ending := serve(t, f, call(route.Idempotent, 2))
-		if ending != forward.EndedWhole || w.Body.String() != "done" || requests(list) != 1 {
+		if ending != forward.EndedComplete || w.Body.String() != "done" || requests(list) != 1 {
 			t.Errorf("ending %s, body %q after %d requests: the answer was given up though no other attempt was allowed", ending, w.Body, requests(list))
 		}
 	})
@@ -392,14 +392,14 @@
 		list := replicas(answerOK, answerOK)
 		f := forwardtest.NewFleet(t, list...)
 		var gone string
-		f.Connecting = func(address string) {
+		f.OnDial = func(address string) {
 			if gone != "" {
 				return
 			}
 			gone = address
 			for _, r := range list {
 				if r.Address != address {
-					f.List(r)
+					f.SetReplicas(r)
 				}
 			}
 		}
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -33,7 +33,7 @@
 		ctx:       limited,
 		outlet:    newOutlet(w, f.options.Codec, c),
 		request:   c.placementRequest(),
-		lastEvent: c.LastEvent,
+		lastEvent: c.LastEventID,
 
 		fingerprint: c.fingerprint(),
 	}
--- a/internal/forward/forwardtest/codec.go
+++ b/internal/forward/forwardtest/codec.go
@@ -17,7 +17,7 @@
 	HeaderReplica     = "For-Replica"
 	HeaderWorkspace   = "Workspace"
 	HeaderLastEvent   = "Last-Event-Id"
-	HeaderPatience    = "Patience-Ms"
+	HeaderTimeout     = "Patience-Ms"
 	HeaderKey         = "Key"
 	HeaderRateLimit   = "Rate-Limit"
 )
@@ -25,31 +25,31 @@
 // Codec implements forward.Codec.
 type Codec struct{}
 
-// Caller implements forward.Codec.
-func (Codec) Caller(h http.Header) forward.CallerHeaders {
-	c := forward.CallerHeaders{ID: h.Get(HeaderID), Key: h.Get(HeaderKey), LastEvent: h.Get(HeaderLastEvent)}
-	if ms, err := strconv.Atoi(h.Get(HeaderPatience)); err == nil {
-		c.Patience = time.Duration(ms) * time.Millisecond
+// DecodeCaller implements forward.Codec.
+func (Codec) DecodeCaller(h http.Header) forward.CallerHeaders {
+	c := forward.CallerHeaders{ID: h.Get(HeaderID), Key: h.Get(HeaderKey), LastEventID: h.Get(HeaderLastEvent)}
+	if ms, err := strconv.Atoi(h.Get(HeaderTimeout)); err == nil {
+		c.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	return c
 }
 
-// Attempt implements forward.Codec.
-func (Codec) Attempt(caller http.Header, a forward.AttemptHeaders) http.Header {
+// EncodeAttempt implements forward.Codec.
+func (Codec) EncodeAttempt(caller http.Header, a forward.AttemptHeaders) http.Header {
 	h := caller.Clone()
 	h.Del(HeaderKey)
 	h.Set(HeaderRemaining, strconv.FormatInt(a.Remaining.Milliseconds(), 10))
 	h.Set(HeaderReplica, a.Replica)
 	h.Set(HeaderWorkspace, a.Workspace)
-	if a.LastEvent != "" {
-		h.Set(HeaderLastEvent, a.LastEvent)
+	if a.LastEventID != "" {
+		h.Set(HeaderLastEvent, a.LastEventID)
 	}
 	return h
 }
 
-// Answer implements forward.Codec.
-func (Codec) Answer(h http.Header) forward.AnswerHeaders {
-	a := forward.AnswerHeaders{
+// DecodeResponse implements forward.Codec.
+func (Codec) DecodeResponse(h http.Header) forward.ResponseHeaders {
+	a := forward.ResponseHeaders{
 		ID: h.Get(HeaderID), Stamped: h.Get(HeaderStamp) != "",
 		NotExecuted: h.Get(HeaderNotExecuted) != "", Encoded: h.Get("Content-Encoding") != "",
 	}
@@ -59,5 +59,5 @@
 	return a
 }
 
-// WithoutStamp implements forward.Codec.
-func (Codec) WithoutStamp(h http.Header) { h.Del(HeaderStamp) }
+// RemoveStamp implements forward.Codec.
+func (Codec) RemoveStamp(h http.Header) { h.Del(HeaderStamp) }
--- a/internal/forward/forwardtest/fleet.go
+++ b/internal/forward/forwardtest/fleet.go
@@ -34,8 +34,8 @@
 	Permits *ratelimit.Permits
 	// Metrics is where the forwarder's metrics are.
 	Metrics *prometheus.Registry
-	// Connecting is called before each new connection, if set.
-	Connecting func(address string)
+	// OnDial is called before each new connection, if set.
+	OnDial func(address string)
 
 	replicas map[string]*Replica
 	revision int64
@@ -49,7 +49,7 @@
 		f.replicas[r.Address] = r
 		t.Cleanup(r.Crash)
 	}
-	f.List(replicas...)
+	f.SetReplicas(replicas...)
 	f.Conns = replicaconn.NewPool(f.dial, nil)
 	f.Budget = retrybudget.New(retrybudget.Limits{Ratio: 0.2, Window: 10 * time.Second, Allowance: 40, Nodes: 1})
 	log := eventlog.New(io.Discard, "test")
@@ -60,15 +60,15 @@
 	f.Forwarder = forward.New(forward.Options{
 		Placer:   placer,
 		Replicas: f.Set, Conns: f.Conns, Codec: Codec{}, Budget: f.Budget,
-		Crashes: forward.NewCrashes(f.Tracker, f.probe, log),
-		Limits:  limits, Permits: f.Permits,
+		CrashGuard: forward.NewCrashGuard(f.Tracker, f.probe, log),
+		RateLimits: limits, Permits: f.Permits,
 		Log: log, Registry: f.Metrics,
 	})
 	return f
 }
 
-// List registers the replicas, and no others.
-func (f *Fleet) List(replicas ...*Replica) {
+// SetReplicas registers the replicas, and no others.
+func (f *Fleet) SetReplicas(replicas ...*Replica) {
 	f.revision++
 	listing := replica.Listing{Revision: f.revision}
 	for _, r := range replicas {
@@ -83,8 +83,8 @@
 }
 
 func (f *Fleet) dial(_ context.Context, address string) (net.Conn, error) {
-	if f.Connecting != nil {
-		f.Connecting(address)
+	if f.OnDial != nil {
+		f.OnDial(address)
 	}
 	conn, up := f.replicas[address].connect()
 	if !up {
--- a/internal/forward/forwardtest/replica.go
+++ b/internal/forward/forwardtest/replica.go
@@ -27,11 +27,11 @@
 
 // Answer writes a whole stamped answer.
 func (c *Conn) Answer(status int, body string) bool {
-	return c.AnswerAs(c.Request.Header.Get(HeaderID), status, body)
+	return c.AnswerFor(c.Request.Header.Get(HeaderID), status, body)
 }
 
-// AnswerAs writes a whole stamped answer to another call.
-func (c *Conn) AnswerAs(id string, status int, body string) bool {
+// AnswerFor writes a whole stamped answer to another call.
+func (c *Conn) AnswerFor(id string, status int, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d Status\r\n%s: %s\r\n%s: s1\r\nContent-Length: %d\r\n\r\n%s",
 		status, HeaderID, id, HeaderStamp, len(body), body)
 	return err == nil
@@ -43,15 +43,15 @@
 	return err == nil
 }
 
-// Stream writes the head of a stream in chunks.
-func (c *Conn) Stream() error {
+// StartStream writes the head of a stream in chunks.
+func (c *Conn) StartStream() error {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s1\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		HeaderID, c.Request.Header.Get(HeaderID), HeaderStamp)
 	return err
 }
 
-// Chunk writes one chunk of a stream; an empty one ends it.
-func (c *Conn) Chunk(data string) error {
+// WriteChunk writes one chunk of a stream; an empty one ends it.
+func (c *Conn) WriteChunk(data string) error {
 	_, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(data), data)
 	return err
 }
@@ -90,16 +90,16 @@
 	}
 }
 
-// LeaveBodies has the replica answer without reading the request's body, nor
+// NeverReadBodies has the replica answer without reading the request's body, nor
 // anything else on that connection.
-func (r *Replica) LeaveBodies() *Replica {
+func (r *Replica) NeverReadBodies() *Replica {
 	r.bodies = bodyNever
 	return r
 }
 
-// BodiesAfterAnswers has the replica read a request's body once it has answered,
+// ReadBodiesAfterAnswers has the replica read a request's body once it has answered,
 // as servers do that take another request on the connection.
-func (r *Replica) BodiesAfterAnswers() *Replica {
+func (r *Replica) ReadBodiesAfterAnswers() *Replica {
 	r.bodies = bodyAfterAnswer
 	return r
 }
@@ -111,8 +111,8 @@
 	return append([]*http.Request(nil), r.requests...)
 }
 
-// Opened is the number of connections that were opened.
-func (r *Replica) Opened() int {
+// ConnectionCount is the number of connections that were opened.
+func (r *Replica) ConnectionCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.opened
--- a/internal/forward/options.go
+++ b/internal/forward/options.go
@@ -13,17 +13,17 @@
 
 // Options are what a Forwarder works with.
 type Options struct {
-	Placer   *placement.Placer
-	Replicas *replica.Set
-	Conns    *replicaconn.Pool
-	Codec    Codec
-	Budget   *retrybudget.Budget
-	Crashes  *Crashes
-	Limits   *ratelimit.Table
-	Permits  *ratelimit.Permits
-	Log      *eventlog.Log
-	Registry prometheus.Registerer
-	// Began is told of each request that begins to run, by its workspace; nil: nobody
+	Placer     *placement.Placer
+	Replicas   *replica.Set
+	Conns      *replicaconn.Pool
+	Codec      Codec
+	Budget     *retrybudget.Budget
+	CrashGuard *CrashGuard
+	RateLimits *ratelimit.Table
+	Permits    *ratelimit.Permits
+	Log        *eventlog.Log
+	Registry   prometheus.Registerer
+	// OnRun is told of each request that begins to run, by its workspace; nil: nobody
 	// counts.
-	Began func(workspace string)
+	OnRun func(workspace string)
 }
--- a/internal/forward/outlet.go
+++ b/internal/forward/outlet.go
@@ -37,9 +37,9 @@
 // begun says whether the caller has seen a part of the answer.
 func (o *outlet) begun() bool { return o.started }
 
-// ConnectionHeaders concern one connection and are not passed on, in either
+// HopByHopHeaders concern one connection and are not passed on, in either
 // direction.
-var ConnectionHeaders = []string{
+var HopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
@@ -59,7 +59,7 @@
 func (o *outlet) copyHeader(from http.Header) {
 	to := o.w.Header()
 	for name, values := range from {
-		if name != "Content-Length" && !slices.Contains(ConnectionHeaders, name) {
+		if name != "Content-Length" && !slices.Contains(HopByHopHeaders, name) {
 			to[name] = values
 		}
 	}
@@ -95,7 +95,7 @@
 	status := f.Status
 	if promisesNotRun(status) {
 		status = http.StatusBadGateway
-		o.codec.WithoutStamp(header)
+		o.codec.RemoveStamp(header)
 		header.Del("Retry-After")
 	}
 	o.copyHeader(header)
@@ -139,7 +139,7 @@
 		return nil
 	}
 	return &Failure{
-		Result: placement.Cancelled, Arrived: true, Step: "write_to_caller", Peer: a.place.Replica.Address,
+		Result: placement.Cancelled, ReachedReplica: true, Step: "write_to_caller", Peer: a.place.Replica.Address,
 		Cause: errors.Join(errCallerGone, err),
 	}
 }
--- a/internal/forward/place_test.go
+++ b/internal/forward/place_test.go
@@ -52,7 +52,7 @@
 				serve(t, f, call(route.AtMostOnce, 1))
 				for range 3 {
 					w, ending := serve(t, f, call(route.AtMostOnce, 1))
-					if test.runs > 1 && ending == forward.EndedWhole {
+					if test.runs > 1 && ending == forward.EndedComplete {
 						continue
 					}
 					after, _ := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
@@ -78,7 +78,7 @@
 		var issuer askCounter
 		f.Permits.SetAsk(issuer.ask)
 		for range 20 {
-			if _, ending := serve(t, f, call(route.AtMostOnce, 1)); ending != forward.EndedWhole {
+			if _, ending := serve(t, f, call(route.AtMostOnce, 1)); ending != forward.EndedComplete {
 				t.Fatalf("ending %s", ending)
 			}
 		}
@@ -103,7 +103,7 @@
 		})
 		for range 20 {
 			began := time.Now()
-			if _, ending := serve(t, f, call(route.AtMostOnce, 1)); ending != forward.EndedWhole {
+			if _, ending := serve(t, f, call(route.AtMostOnce, 1)); ending != forward.EndedComplete {
 				t.Fatalf("ending %s", ending)
 			}
 			if took := time.Since(began); took > 150*time.Millisecond {
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -14,15 +14,15 @@
 // events writes the events in chunks, and ends the stream if whole is set.
 func events(whole bool, chunks ...string) forwardtest.Script {
 	return func(c *forwardtest.Conn) bool {
-		if c.Stream() != nil {
+		if c.StartStream() != nil {
 			return false
 		}
 		for _, chunk := range chunks {
-			if c.Chunk(chunk) != nil {
+			if c.WriteChunk(chunk) != nil {
 				return false
 			}
 		}
-		return whole && c.Chunk("") == nil
+		return whole && c.WriteChunk("") == nil
 	}
 }
 
@@ -52,7 +52,7 @@
 					return events(true, event3)(c)
 				})
 				w, ending := serve(t, forwardtest.NewFleet(t, list...), call(route.ResumableStream, 2))
-				if ending != forward.EndedWhole || w.Body.String() != event1+event2+event3 || resumedAt != "2" {
+				if ending != forward.EndedComplete || w.Body.String() != event1+event2+event3 || resumedAt != "2" {
 					t.Errorf("ending %s, body %q, resumed behind %q", ending, w.Body, resumedAt)
 				}
 			})
@@ -76,7 +76,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		list := replicas(events(false), events(true, event1))
 		w, ending := serve(t, forwardtest.NewFleet(t, list...), call(route.ResumableStream, 2))
-		if ending != forward.EndedWhole || w.Code != http.StatusOK || w.Body.String() != event1 {
+		if ending != forward.EndedComplete || w.Code != http.StatusOK || w.Body.String() != event1 {
 			t.Errorf("ending %s, status %d, body %q", ending, w.Code, w.Body)
 		}
 	})
@@ -85,12 +85,12 @@
 func TestEventsArePassedOnAsTheyCome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := replicas(func(c *forwardtest.Conn) bool {
-			_ = c.Stream()
+			_ = c.StartStream()
 			for _, e := range []string{event1, event2, event3} {
-				_ = c.Chunk(e)
+				_ = c.WriteChunk(e)
 				time.Sleep(50 * time.Millisecond)
 			}
-			return c.Chunk("") == nil
+			return c.WriteChunk("") == nil
 		})
 		w := &flushes{began: time.Now(), header: make(http.Header)}
 		forwardtest.NewFleet(t, list...).Serve(t.Context(), w, call(route.ResumableStream, 1))
--- a/internal/gateway/check.go
+++ b/internal/gateway/check.go
@@ -118,7 +118,7 @@
 	if slices.Contains(c.workspace.Upstreams, upstream) {
 		return nil
 	}
-	return named(refusal.UpstreamDenied, "upstream", upstream, "workspace "+c.workspace.Name+" may not use this upstream")
+	return named(refusal.UpstreamForbidden, "upstream", upstream, "workspace "+c.workspace.Name+" may not use this upstream")
 }
 
 // readBody reads the whole body within the configured bound.
--- a/internal/gateway/end.go
+++ b/internal/gateway/end.go
@@ -22,9 +22,9 @@
 var refusalEnds = map[refusal.Reason]end{
 	refusal.BadRequest: endRejected, refusal.BodyTooLarge: endRejected,
 	refusal.UnknownModel: endRejected, refusal.UnknownUpstream: endRejected,
-	refusal.UpstreamDenied: endRejected, refusal.IdempotencyNeeds: endRejected,
-	refusal.IdempotencyReuse: endRejected,
-	refusal.QuotaExceeded:    endOverQuota, refusal.CallerGone: endGone,
+	refusal.UpstreamForbidden: endRejected, refusal.IdempotencyKeyRequired: endRejected,
+	refusal.IdempotencyKeyReused: endRejected,
+	refusal.QuotaExceeded:        endOverQuota, refusal.CallerGone: endGone,
 }
 
 func endOf(reason refusal.Reason) end {
--- a/internal/gateway/end_test.go
+++ b/internal/gateway/end_test.go
@@ -16,8 +16,8 @@
 		}
 	}
 	for _, reason := range []refusal.Reason{
-		refusal.BadRequest, refusal.BodyTooLarge, refusal.UnknownModel, refusal.UpstreamDenied,
-		refusal.IdempotencyReuse, refusal.QuotaExceeded, refusal.CallerGone,
+		refusal.BadRequest, refusal.BodyTooLarge, refusal.UnknownModel, refusal.UpstreamForbidden,
+		refusal.IdempotencyKeyReused, refusal.QuotaExceeded, refusal.CallerGone,
 	} {
 		if endOf(reason) == endRefused {
 			t.Errorf("%s counts against the system", reason)
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -68,7 +68,7 @@
 	}
 	sc := &serviceCall{call: c, upstream: target, rule: ruleFor(target, r.Method, servicePath)}
 	if sc.rule != nil && !sc.rule.KeyOptional && c.idempotencyKey == "" {
-		return nil, named(refusal.IdempotencyNeeds, headerIdempotencyKey, "", "this call may not be repeated: send a key that names it")
+		return nil, named(refusal.IdempotencyKeyRequired, headerIdempotencyKey, "", "this call may not be repeated: send a key that names it")
 	}
 	sc.wire = upstream.ServiceCall{
 		ID:           c.id,
--- a/internal/load/violation.go
+++ b/internal/load/violation.go
@@ -75,7 +75,7 @@
 	case result.Last.Ending == EndingWhole && result.Wrong != "":
 		add(promiseWhole, fmt.Sprintf("request id %s after %s attempts: %s", result.Last.RequestID, result.Last.NodeAttempts, result.Wrong))
 	}
-	if result.Last.Reason == string(refusal.ShedForHigher) && highest[result.Request.Stream.Class] {
+	if result.Last.Reason == string(refusal.ShedForHigherTier) && highest[result.Request.Stream.Class] {
 		add(promiseHighest, "shed for a higher tier, but none is above it")
 	}
 	return list
--- a/internal/passthrough/check.go
+++ b/internal/passthrough/check.go
@@ -35,7 +35,7 @@
 	if !ok {
 		return nil, h.unlessStale(age, &refuseRoute)
 	}
-	headers := h.options.Codec.Caller(r.Header)
+	headers := h.options.Codec.DecodeCaller(r.Header)
 	workspace, refusal := h.admit(table, matched, headers.Key, age)
 	if refusal != nil {
 		return nil, refusal
@@ -47,7 +47,7 @@
 	c := &forward.Call{
 		CallerHeaders: headers, Route: matched, Workspace: workspace, Upstream: matched.Pick(h.options.Random()), Rank: table.Rank(matched, workspace),
 		Method: r.Method, Target: target, Host: r.Host, Header: r.Header, Body: body,
-		Arrived: arrived, Deadline: deadline(arrived, matched, headers.Patience),
+		Arrived: arrived, Deadline: deadline(arrived, matched, headers.Timeout),
 	}
 	if u, ok := table.Upstream(c.Upstream); ok {
 		h.bound(c, u)
--- a/internal/passthrough/handler.go
+++ b/internal/passthrough/handler.go
@@ -63,7 +63,7 @@
 	h.refusals.WithLabelValues(string(refusal.reason)).Inc()
 	snapshot := h.options.Routes.Get()
 	h.options.Log.Write(&requestRefused{
-		id: h.options.Codec.Caller(r.Header).ID, host: r.Host, target: requestTarget(r), refusal: refusal,
+		id: h.options.Codec.DecodeCaller(r.Header).ID, host: r.Host, target: requestTarget(r), refusal: refusal,
 		version: snapshot.Version(), age: snapshot.Age(h.options.Clock()),
 	})
 	refusal.write(w)
--- a/internal/retry/metrics.go
+++ b/internal/retry/metrics.go
@@ -35,7 +35,7 @@
 		m.added.WithLabelValues(string(Retry), string(reason))
 	}
 	for _, reason := range []refusal.Reason{
-		refusal.RetryBudget, refusal.UpstreamFailed, refusal.UpstreamTimeout,
+		refusal.RetryBudgetSpent, refusal.UpstreamFailed, refusal.UpstreamTimeout,
 		refusal.UpstreamRefused, refusal.OutcomeUnknown,
 	} {
 		m.givenUp.WithLabelValues(string(reason), string(refusal.Unknown))
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -58,7 +58,7 @@
 	}
 	if !p.budget.take(now, budgetKey{a.Class, a.Upstream}, limits.RetryBudget, a.Result == NotRun) {
 		return giveUp(a, refusal.Error{
-			Reason: refusal.RetryBudget, Message: "the retry budget is spent", RetryAfter: retryAfter,
+			Reason: refusal.RetryBudgetSpent, Message: "the retry budget is spent", RetryAfter: retryAfter,
 		})
 	}
 	if a.Delivered > 0 {
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -141,7 +141,7 @@
 		t.Fatalf("%d granted after the window, want the floor %d", n, floor)
 	}
 	refused := policy.Decide(start.Add(windowCells*cellSpan), firstFailure(Crashed)).Refusal
-	if refused == nil || refused.Reason != refusal.RetryBudget || refused.RetryAfter == 0 {
+	if refused == nil || refused.Reason != refusal.RetryBudgetSpent || refused.RetryAfter == 0 {
 		t.Fatalf("refusal %+v", refused)
 	}
 }
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -67,8 +67,8 @@
 	b.limits.Nodes = nodes
 }
 
-// Request counts a request's first attempt at the upstream.
-func (b *Budget) Request(now time.Time, upstream string) {
+// CountRequest counts a request's first attempt at the upstream.
+func (b *Budget) CountRequest(now time.Time, upstream string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.cell(now, upstream).requests++
@@ -86,8 +86,8 @@
 	return true
 }
 
-// Left is the number of attempts that may still be added, for explanations.
-func (b *Budget) Left(now time.Time, upstream string) float64 {
+// Remaining is the number of attempts that may still be added, for explanations.
+func (b *Budget) Remaining(now time.Time, upstream string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.left(now, upstream)
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -27,7 +27,7 @@
 		now := start.Add(time.Duration(step) * 100 * time.Millisecond)
 		for range 10 + 10*(step/100%2) {
 			b := budgets[random.IntN(nodes)]
-			b.Request(now, "u")
+			b.CountRequest(now, "u")
 			requests[step]++
 			for range 3 {
 				if b.Take(now, "u") {
@@ -58,7 +58,7 @@
 	if !b.Take(start, "b") {
 		t.Error("one upstream's attempts were taken from another's budget")
 	}
-	if left := b.Left(start, "a"); left >= 1 {
+	if left := b.Remaining(start, "a"); left >= 1 {
 		t.Errorf("%.1f left of a spent budget", left)
 	}
 	if !b.Take(start.Add(12*time.Second), "a") {
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -183,7 +183,7 @@
 	if victim == nil {
 		return false
 	}
-	p.shed = append(p.shed, p.giveUp(victim, refusal.ShedForHigher, "requests of a higher tier took its place"))
+	p.shed = append(p.shed, p.giveUp(victim, refusal.ShedForHigherTier, "requests of a higher tier took its place"))
 	p.changedAt = now
 	return true
 }
--- a/internal/router/pool_model_test.go
+++ b/internal/router/pool_model_test.go
@@ -75,7 +75,7 @@
 // alone, or for a higher tier.
 func (m *model) checkRefusal(r Request, refused *refusal.Error) {
 	switch refused.Reason {
-	case refusal.ShedForHigher:
+	case refusal.ShedForHigherTier:
 	case refusal.GaveUpWaiting, refusal.TooLate:
 		if half := r.GiveUpAt.Sub(r.Arrived) / 2; m.now.Before(r.Arrived.Add(half)) {
 			m.t.Fatalf("%s refused as %s in the first half of its time", r.ID, refused.Reason)
