--- a/internal/claim/apply_test.go
+++ b/internal/claim/apply_test.go
@@ -27,8 +27,8 @@
 
 func beginOf(attempt int, content Fingerprint, gone bool) BeginCommand {
 	return BeginCommand{
-		Key: modelKey, Content: content, Attempt: attemptNumber(attempt), Node: "n1", Now: modelNow,
-		Gone: func(string, uuid.UUID) bool { return gone },
+		Key: modelKey, CallFingerprint: content, Attempt: attemptNumber(attempt), Node: "n1", Now: modelNow,
+		ProcessEnded: func(string, uuid.UUID) bool { return gone },
 	}
 }
 
--- a/internal/claim/begin.go
+++ b/internal/claim/begin.go
@@ -12,17 +12,17 @@
 
 // BeginCommand claims a call for one attempt. It is idempotent by Attempt.
 type BeginCommand struct {
-	Key     Key
-	Content Fingerprint
-	Attempt uuid.UUID
+	Key             Key
+	CallFingerprint Fingerprint
+	Attempt         uuid.UUID
 	// Node and Boot name the process that will send the call.
 	Node string
 	Boot uuid.UUID
 	Now  time.Time
-	// Refuse is why no new claim may be made; empty where one may.
-	Refuse refusal.Reason
-	// Gone says whether a process is known to be gone.
-	Gone func(node string, boot uuid.UUID) bool
+	// RefuseNew is why no new claim may be made; empty where one may.
+	RefuseNew refusal.Reason
+	// ProcessEnded says whether a process is known to be gone.
+	ProcessEnded func(node string, boot uuid.UUID) bool
 }
 
 func (c BeginCommand) apply(state *claimv1.Record) (*claimv1.Record, Decision) {
@@ -36,7 +36,7 @@
 		}
 		return c.claim(state)
 	}
-	if !c.Content.matches(state.GetFingerprint()) {
+	if !c.CallFingerprint.matches(state.GetFingerprint()) {
 		return state, Decision{Refused: refusal.IdempotencyReuse}
 	}
 	switch state.GetPhase() {
@@ -50,13 +50,13 @@
 
 // claim makes the claim unless that is refused.
 func (c BeginCommand) claim(state *claimv1.Record) (*claimv1.Record, Decision) {
-	if c.Refuse != "" {
-		return state, Decision{Refused: c.Refuse}
+	if c.RefuseNew != "" {
+		return state, Decision{Refused: c.RefuseNew}
 	}
 	next := &claimv1.Record{
 		Key:         KeyToProto(c.Key),
 		Phase:       claimv1.Phase_PHASE_IN_PROGRESS,
-		Fingerprint: c.Content[:],
+		Fingerprint: c.CallFingerprint[:],
 		Attempt:     c.Attempt[:],
 		Node:        c.Node,
 		Boot:        c.Boot[:],
@@ -70,7 +70,7 @@
 	if c.owns(state) {
 		return state, Decision{Verdict: Run}
 	}
-	if !c.Gone(state.GetNode(), uuidFromBytes(state.GetBoot())) {
+	if !c.ProcessEnded(state.GetNode(), uuidFromBytes(state.GetBoot())) {
 		return state, Decision{Verdict: InProgress}
 	}
 	return ended(state, claimv1.Phase_PHASE_UNKNOWN, nil, c.Now), Decision{Verdict: Unknown}
--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -103,7 +103,7 @@
 		})
 	}
 	for _, rate := range []int{20, 200, 1000, 2000, 4000} {
-		for _, gather := range []time.Duration{-1, DefaultGatherTime} {
+		for _, gather := range []time.Duration{-1, DefaultFlushInterval} {
 			b.Run(fmt.Sprintf("gather=%v/rate=%d", gather, rate), func(b *testing.B) {
 				for range b.N {
 					measureLedger(b, rate, 4, 512, 16, gather)
@@ -118,7 +118,7 @@
 	c.store.latency = benchLatency
 	c.oneWay = benchOneWay
 	change := func(options *Options) {
-		options.GatherTime = gather
+		options.FlushInterval = gather
 		options.Policy.Shards = shards
 		options.Policy.Segments = segments
 		options.Policy.SegmentBytes = segKiB << 10
--- a/internal/claim/claimrpc/claimrpc_test.go
+++ b/internal/claim/claimrpc/claimrpc_test.go
@@ -61,7 +61,7 @@
 	for name, reply := range replies {
 		h := &holder{begin: reply}
 		request := claim.BeginRequest{
-			Key: key, Content: claim.FingerprintOf("POST", "/x", []byte("body")), Attempt: uuid.New(), Node: "n1", Boot: uuid.New(),
+			Key: key, CallFingerprint: claim.FingerprintOf("POST", "/x", []byte("body")), Attempt: uuid.New(), Node: "n1", Boot: uuid.New(),
 		}
 		got, err := NewClient("http", nil).Begin(t.Context(), serve(t, h), request)
 		if err != nil || !reflect.DeepEqual(got, reply) {
--- a/internal/claim/claimrpc/client.go
+++ b/internal/claim/claimrpc/client.go
@@ -38,7 +38,7 @@
 func (c *Client) Begin(ctx context.Context, address string, request claim.BeginRequest) (claim.BeginReply, error) {
 	message := &claimv1.BeginRequest{
 		Key:         claim.KeyToProto(request.Key),
-		Fingerprint: request.Content[:],
+		Fingerprint: request.CallFingerprint[:],
 		Attempt:     request.Attempt[:],
 		Node:        request.Node,
 		Boot:        request.Boot[:],
--- a/internal/claim/claimrpc/handler.go
+++ b/internal/claim/claimrpc/handler.go
@@ -40,7 +40,7 @@
 	}
 	copy(fingerprint[:], message.GetFingerprint())
 	reply, err := h.server.ServeBegin(ctx, claim.BeginRequest{
-		Key: claim.KeyFromProto(message.GetKey()), Content: fingerprint,
+		Key: claim.KeyFromProto(message.GetKey()), CallFingerprint: fingerprint,
 		Attempt: attempt, Node: message.GetNode(), Boot: boot,
 		KnownOnly: message.GetKnownOnly(),
 	})
--- a/internal/claim/fakecall_test.go
+++ b/internal/claim/fakecall_test.go
@@ -98,7 +98,7 @@
 }
 
 // runCall sends a claimed call and records how it ended.
-func (c *cluster) runCall(t testing.TB, node *testNode, grant Grant, body string, killed func(step) bool) told {
+func (c *cluster) runCall(t testing.TB, node *testNode, grant BeginResult, body string, killed func(step) bool) told {
 	ends := OutcomeRecorded
 	if c.ends != nil {
 		ends = c.ends()
--- a/internal/claim/gather_test.go
+++ b/internal/claim/gather_test.go
@@ -22,10 +22,10 @@
 		least, atMost int
 	}{
 		{"lone calls", 10, time.Second, 200, 6 * time.Millisecond, 20, 20},
-		{"a busy shard", 1000, 2 * time.Millisecond, 1, 2 * (DefaultGatherTime + 10*time.Millisecond), 48, 56},
+		{"a busy shard", 1000, 2 * time.Millisecond, 1, 2 * (DefaultFlushInterval + 10*time.Millisecond), 48, 56},
 		// Gathered by time alone these would be 50 writes; how many fall together
 		// beyond that is up to the scheduler.
-		{"many bytes", 500, 4 * time.Millisecond, 8000, 2 * (DefaultGatherTime + 10*time.Millisecond), 200, 420},
+		{"many bytes", 500, 4 * time.Millisecond, 8000, 2 * (DefaultFlushInterval + 10*time.Millisecond), 200, 420},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/claim/grant.go
+++ b/internal/claim/grant.go
@@ -9,8 +9,8 @@
 	Attempt uuid.UUID
 }
 
-// Grant is the result of Begin.
-type Grant struct {
+// BeginResult is the result of Begin.
+type BeginResult struct {
 	Verdict Verdict
 	// Token finishes the claim; set for Run only.
 	Token Token
--- a/internal/claim/held.go
+++ b/internal/claim/held.go
@@ -1,7 +1,7 @@
 package claim
 
-// Held returns the number of shards that this node holds.
-func (n *Node) Held() int {
+// HeldShards returns the number of shards that this node holds.
+func (n *Node) HeldShards() int {
 	held := 0
 	for _, part := range n.shards {
 		if part.holds() {
--- a/internal/claim/hold.go
+++ b/internal/claim/hold.go
@@ -92,7 +92,7 @@
 	turn := s.gathering.Reserve()
 	timer := time.NewTimer(turn.Delay())
 	defer timer.Stop()
-	for s.waitingBytes() < s.options.GatherBytes {
+	for s.waitingBytes() < s.options.FlushBytes {
 		select {
 		case <-timer.C:
 			return live.Err() == nil
--- a/internal/claim/known.go
+++ b/internal/claim/known.go
@@ -6,10 +6,10 @@
 	"galenatrestle/internal/refusal"
 )
 
-// Known implements Ledger. It costs no write to the platform.
-func (n *Node) Known(ctx context.Context, key Key, content Fingerprint) (Grant, bool, error) {
+// Lookup implements Ledger. It costs no write to the platform.
+func (n *Node) Lookup(ctx context.Context, key Key, content Fingerprint) (BeginResult, bool, error) {
 	if refused := key.Check(); refused != nil {
-		return Grant{}, false, refused
+		return BeginResult{}, false, refused
 	}
 	request := n.newRequest(key, content)
 	request.KnownOnly = true
@@ -17,18 +17,18 @@
 	defer cancel()
 	reply, err := n.settleBegin(within, request)
 	if err != nil {
-		return Grant{}, false, gaveUp(ctx, err)
+		return BeginResult{}, false, gaveUp(ctx, err)
 	}
 	switch {
 	case reply.Refused == refusal.QuotaExceeded:
-		return Grant{}, false, nil
+		return BeginResult{}, false, nil
 	case reply.Refused != "":
-		return Grant{}, false, refusedBy(reply.Refused, key)
+		return BeginResult{}, false, refusedBy(reply.Refused, key)
 	case reply.Verdict == Run:
 		// A holder of an earlier version does not know of KnownOnly.
 		n.abandon(request)
-		return Grant{}, false, nil
+		return BeginResult{}, false, nil
 	}
 	n.metrics.verdicts.WithLabelValues(reply.Verdict.String()).Inc()
-	return Grant{Verdict: reply.Verdict, Answer: reply.Answer}, true, nil
+	return BeginResult{Verdict: reply.Verdict, Answer: reply.Answer}, true, nil
 }
--- a/internal/claim/known_test.go
+++ b/internal/claim/known_test.go
@@ -13,7 +13,7 @@
 		content := FingerprintOf("POST", "/claims", []byte("body"))
 		writes := writesOf(c.store)
 		for _, node := range nodes {
-			if grant, known, err := node.Known(t.Context(), oneKey, content); known || err != nil {
+			if grant, known, err := node.Lookup(t.Context(), oneKey, content); known || err != nil {
 				t.Errorf("%s before the claim: %v %v", node.name, grant.Verdict, err)
 			}
 		}
@@ -24,7 +24,7 @@
 		if err != nil || grant.Verdict != Run {
 			t.Fatalf("Begin = %v %v, want the right to run", grant.Verdict, err)
 		}
-		if grant, known, err := nodes[2].Known(t.Context(), oneKey, content); !known || err != nil || grant.Verdict != InProgress {
+		if grant, known, err := nodes[2].Lookup(t.Context(), oneKey, content); !known || err != nil || grant.Verdict != InProgress {
 			t.Errorf("while it runs: %v %v %v", grant.Verdict, known, err)
 		}
 		answer := Answer{Status: 201, Body: []byte("done")}
@@ -32,12 +32,12 @@
 			t.Fatal(err)
 		}
 		for _, node := range nodes {
-			grant, known, err := node.Known(t.Context(), oneKey, content)
+			grant, known, err := node.Lookup(t.Context(), oneKey, content)
 			if !known || err != nil || grant.Verdict != Recorded || string(grant.Answer.Body) != "done" {
 				t.Errorf("%s after the record: %v %v %v %q", node.name, grant.Verdict, known, err, grant.Answer.Body)
 			}
 		}
-		_, _, err = nodes[0].Known(t.Context(), oneKey, FingerprintOf("POST", "/claims", []byte("other")))
+		_, _, err = nodes[0].Lookup(t.Context(), oneKey, FingerprintOf("POST", "/claims", []byte("other")))
 		if refused := refusal.From(err); err == nil || refused.Reason != refusal.IdempotencyReuse {
 			t.Errorf("another content got %v", err)
 		}
--- a/internal/claim/ledger.go
+++ b/internal/claim/ledger.go
@@ -11,11 +11,11 @@
 	// not be made durable in time, ClaimLedger when the ledger is full, IdempotencyReuse when the key
 	// was used with another content, IdempotencyNeeds or BadRequest for a key
 	// that cannot be claimed. Nothing may be sent unless the verdict is Run.
-	Begin(ctx context.Context, key Key, content Fingerprint) (Grant, error)
-	// Known is Begin for a call that may not start now: it answers a repeat of
+	Begin(ctx context.Context, key Key, content Fingerprint) (BeginResult, error)
+	// Lookup is Begin for a call that may not start now: it answers a repeat of
 	// a claimed call and claims nothing. It returns false where the call is not
 	// claimed. Its errors are those of Begin.
-	Known(ctx context.Context, key Key, content Fingerprint) (Grant, bool, error)
+	Lookup(ctx context.Context, key Key, content Fingerprint) (BeginResult, bool, error)
 	// Finish ends the claim and returns once the outcome is durable. When ctx
 	// ends first it returns the context's error, and the outcome is recorded
 	// in the background. The gateway answers its caller either way.
--- a/internal/claim/modelrequest_test.go
+++ b/internal/claim/modelrequest_test.go
@@ -35,7 +35,7 @@
 func (m *model) begin(s *modelState, i, h int) {
 	r := s.nodes[h].ring
 	command := BeginCommand{
-		Key: modelKey, Content: modelContent, Attempt: attemptOf(i), Node: nodeName(i), Now: modelNow, Gone: s.gone,
+		Key: modelKey, CallFingerprint: modelContent, Attempt: attemptOf(i), Node: nodeName(i), Now: modelNow, ProcessEnded: s.gone,
 	}
 	decision, change, err := r.apply(modelKey, command, modelNow)
 	if err != nil {
--- a/internal/claim/node.go
+++ b/internal/claim/node.go
@@ -37,7 +37,7 @@
 		options: options, boot: boot,
 		boots:      newBoots(options.View),
 		metrics:    newMetrics(options.Registerer),
-		unfinished: newUnfinished(options.MaxUnfinished),
+		unfinished: newUnfinished(options.MaxQueuedOutcomes),
 	}
 	for number := range options.Policy.Shards {
 		part := newShard(number, options, n.metrics)
@@ -65,31 +65,31 @@
 }
 
 // Begin implements Ledger.
-func (n *Node) Begin(ctx context.Context, key Key, content Fingerprint) (Grant, error) {
+func (n *Node) Begin(ctx context.Context, key Key, content Fingerprint) (BeginResult, error) {
 	grant, refused := n.begin(ctx, key, content)
 	if refused != nil {
 		n.metrics.refusals.WithLabelValues(string(refused.Reason)).Inc()
-		return Grant{}, refused
+		return BeginResult{}, refused
 	}
 	n.metrics.verdicts.WithLabelValues(grant.Verdict.String()).Inc()
 	return grant, nil
 }
 
-func (n *Node) begin(ctx context.Context, key Key, content Fingerprint) (Grant, *refusal.Error) {
+func (n *Node) begin(ctx context.Context, key Key, content Fingerprint) (BeginResult, *refusal.Error) {
 	if refused := key.Check(); refused != nil {
-		return Grant{}, refused
+		return BeginResult{}, refused
 	}
 	request := n.newRequest(key, content)
 	within, cancel := context.WithTimeout(ctx, n.options.BeginTimeout)
 	defer cancel()
 	reply, err := n.settleBegin(within, request)
 	if err != nil {
-		return Grant{}, gaveUp(ctx, err)
+		return BeginResult{}, gaveUp(ctx, err)
 	}
 	if reply.Refused != "" {
-		return Grant{}, refusedBy(reply.Refused, key)
+		return BeginResult{}, refusedBy(reply.Refused, key)
 	}
-	grant := Grant{Verdict: reply.Verdict, Answer: reply.Answer}
+	grant := BeginResult{Verdict: reply.Verdict, Answer: reply.Answer}
 	if reply.Verdict == Run {
 		grant.Token = Token{Key: key, Attempt: request.Attempt}
 	}
@@ -99,7 +99,7 @@
 // newRequest is a request to claim the key for a new attempt of this process.
 func (n *Node) newRequest(key Key, content Fingerprint) BeginRequest {
 	return BeginRequest{
-		Key: key, Content: content, Attempt: uuid.New(),
+		Key: key, CallFingerprint: content, Attempt: uuid.New(),
 		Node: processNode(n.options.View.Self()), Boot: n.boot,
 	}
 }
--- a/internal/claim/options.go
+++ b/internal/claim/options.go
@@ -30,40 +30,40 @@
 
 	// WritesPerSecond bounds the platform writes of all shards together.
 	WritesPerSecond float64
-	// GatherTime is the mean time between two writes of a busy shard while
+	// FlushInterval is the mean time between two writes of a busy shard while
 	// fewer than GatherBytes wait. Negative: none.
-	GatherTime time.Duration
-	// GatherBytes is how many bytes of changes are written without waiting for
+	FlushInterval time.Duration
+	// FlushBytes is how many bytes of changes are written without waiting for
 	// GatherTime.
-	GatherBytes int
+	FlushBytes int
 	// BeginTimeout bounds one Begin where its context does not.
 	BeginTimeout time.Duration
 	// CallTimeout bounds one call to the platform or a peer.
 	CallTimeout time.Duration
 	// RetryInterval is the mean pause between tries.
 	RetryInterval time.Duration
-	// TendInterval is the pause between looks at which shards to hold.
-	TendInterval time.Duration
+	// CheckInterval is the pause between looks at which shards to hold.
+	CheckInterval time.Duration
 	// MaxPending bounds the changes that wait for a write in one shard.
 	MaxPending int
-	// MaxUnfinished bounds the outcomes that wait to be recorded in the
+	// MaxQueuedOutcomes bounds the outcomes that wait to be recorded in the
 	// background.
-	MaxUnfinished int
+	MaxQueuedOutcomes int
 
 	jitters *jitters
 }
 
 // The defaults of Options.
 const (
-	DefaultWritesPerSecond = 200
-	DefaultGatherTime      = 40 * time.Millisecond
-	DefaultGatherBytes     = 8 << 10
-	DefaultBeginTimeout    = 2 * time.Second
-	DefaultCallTimeout     = 500 * time.Millisecond
-	DefaultRetryInterval   = 50 * time.Millisecond
-	DefaultTendInterval    = time.Second
-	DefaultMaxPending      = 10_000
-	DefaultMaxUnfinished   = 10_000
+	DefaultWritesPerSecond   = 200
+	DefaultFlushInterval     = 40 * time.Millisecond
+	DefaultFlushBytes        = 8 << 10
+	DefaultBeginTimeout      = 2 * time.Second
+	DefaultCallTimeout       = 500 * time.Millisecond
+	DefaultRetryInterval     = 50 * time.Millisecond
+	DefaultCheckInterval     = time.Second
+	DefaultMaxPending        = 10_000
+	DefaultMaxQueuedOutcomes = 10_000
 )
 
 // writeBurst is the number of writes a shard may make at once when it has been
@@ -76,10 +76,10 @@
 
 // gatherLimit returns the writes a second of a shard that gathers.
 func (o Options) gatherLimit() rate.Limit {
-	if o.GatherTime < 0 {
+	if o.FlushInterval < 0 {
 		return rate.Inf
 	}
-	return rate.Every(o.GatherTime)
+	return rate.Every(o.FlushInterval)
 }
 
 func (o Options) withDefaults() Options {
@@ -87,14 +87,14 @@
 		o.Policy = DefaultPolicy()
 	}
 	o.WritesPerSecond = cmp.Or(o.WritesPerSecond, DefaultWritesPerSecond)
-	o.GatherTime = cmp.Or(o.GatherTime, DefaultGatherTime)
-	o.GatherBytes = cmp.Or(o.GatherBytes, DefaultGatherBytes)
+	o.FlushInterval = cmp.Or(o.FlushInterval, DefaultFlushInterval)
+	o.FlushBytes = cmp.Or(o.FlushBytes, DefaultFlushBytes)
 	o.BeginTimeout = cmp.Or(o.BeginTimeout, DefaultBeginTimeout)
 	o.CallTimeout = cmp.Or(o.CallTimeout, DefaultCallTimeout)
 	o.RetryInterval = cmp.Or(o.RetryInterval, DefaultRetryInterval)
-	o.TendInterval = cmp.Or(o.TendInterval, DefaultTendInterval)
+	o.CheckInterval = cmp.Or(o.CheckInterval, DefaultCheckInterval)
 	o.MaxPending = cmp.Or(o.MaxPending, DefaultMaxPending)
-	o.MaxUnfinished = cmp.Or(o.MaxUnfinished, DefaultMaxUnfinished)
+	o.MaxQueuedOutcomes = cmp.Or(o.MaxQueuedOutcomes, DefaultMaxQueuedOutcomes)
 	if o.Registerer == nil {
 		o.Registerer = prometheus.NewRegistry()
 	}
--- a/internal/claim/peers.go
+++ b/internal/claim/peers.go
@@ -11,11 +11,11 @@
 
 // BeginRequest is a Begin as it goes to the shard's holder.
 type BeginRequest struct {
-	Key     Key
-	Content Fingerprint
-	Attempt uuid.UUID
-	Node    string
-	Boot    uuid.UUID
+	Key             Key
+	CallFingerprint Fingerprint
+	Attempt         uuid.UUID
+	Node            string
+	Boot            uuid.UUID
 	// KnownOnly asks what is known of the claim and makes none: the answer is
 	// then QuotaExceeded.
 	KnownOnly bool
--- a/internal/claim/ring_test.go
+++ b/internal/claim/ring_test.go
@@ -69,8 +69,8 @@
 func (b *ringBench) begin(key Key, attempt uuid.UUID, refuse refusal.Reason) Decision {
 	b.t.Helper()
 	command := BeginCommand{
-		Key: key, Attempt: attempt, Node: "n1", Now: b.now, Refuse: refuse,
-		Gone: func(string, uuid.UUID) bool { return false },
+		Key: key, Attempt: attempt, Node: "n1", Now: b.now, RefuseNew: refuse,
+		ProcessEnded: func(string, uuid.UUID) bool { return false },
 	}
 	decision, _, err := b.ring.apply(key, command, b.now)
 	if err != nil {
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -59,17 +59,17 @@
 func (s *shard) begin(ctx context.Context, request BeginRequest, gone func(string, uuid.UUID) bool) (Decision, error) {
 	now := time.Now()
 	command := BeginCommand{
-		Key: request.Key, Content: request.Content, Attempt: request.Attempt,
-		Node: request.Node, Boot: request.Boot, Now: now, Gone: gone,
+		Key: request.Key, CallFingerprint: request.CallFingerprint, Attempt: request.Attempt,
+		Node: request.Node, Boot: request.Boot, Now: now, ProcessEnded: gone,
 	}
 	s.mu.Lock()
 	if !s.holding {
 		defer s.mu.Unlock()
 		return s.remembered(command), errNotHolder
 	}
-	command.Refuse = s.refusalForNew(now)
+	command.RefuseNew = s.refusalForNew(now)
 	if request.KnownOnly {
-		command.Refuse = refusal.QuotaExceeded
+		command.RefuseNew = refusal.QuotaExceeded
 	}
 	return s.run(ctx, request.Key, command, now)
 }
@@ -152,7 +152,7 @@
 	if err != nil {
 		return Decision{}
 	}
-	command.Refuse = refusal.ClaimStoreDown
+	command.RefuseNew = refusal.ClaimStoreDown
 	_, decision := Apply(state, command)
 	if decision.Verdict == Run || decision.Refused == refusal.ClaimStoreDown {
 		return Decision{}
--- a/internal/claim/shardholder.go
+++ b/internal/claim/shardholder.go
@@ -49,7 +49,7 @@
 // rest waits for the next look. An ask shortens the wait to a quarter, so that
 // a busy node without a holder does not use up the platform's rate.
 func (t *shardHolder) rest(ctx context.Context) (wanted, live bool) {
-	short := t.options.jitters.around(t.options.TendInterval / 4)
+	short := t.options.jitters.around(t.options.CheckInterval / 4)
 	if ctxtime.Sleep(ctx, short) != nil {
 		return false, false
 	}
@@ -74,9 +74,9 @@
 func (t *shardHolder) interval() time.Duration {
 	node, address := readHolder(t.holderHint().Holder)
 	if _, known := memberNamed(t.options.View, node); !known && address != "" {
-		return elsewhereRest * t.options.TendInterval
+		return elsewhereRest * t.options.CheckInterval
 	}
-	return t.options.TendInterval
+	return t.options.CheckInterval
 }
 
 // tryHold holds the shard if its lease can be had.
@@ -114,7 +114,7 @@
 // holder. It returns when ctx ends.
 func (t *shardHolder) handOn(ctx context.Context, stop func()) {
 	for others := 0; others < handOnAfter; {
-		if ctxtime.Sleep(ctx, t.options.TendInterval) != nil {
+		if ctxtime.Sleep(ctx, t.options.CheckInterval) != nil {
 			return
 		}
 		others++
--- a/internal/claim/short_test.go
+++ b/internal/claim/short_test.go
@@ -51,7 +51,7 @@
 			ask := func(at time.Duration, verdict Verdict, refused refusal.Reason) {
 				t.Helper()
 				b.now = ended.Add(at)
-				command := BeginCommand{Key: keyNumber(1), Content: test.content, Attempt: uuid.New(), Now: b.now}
+				command := BeginCommand{Key: keyNumber(1), CallFingerprint: test.content, Attempt: uuid.New(), Now: b.now}
 				state, err := b.ring.lookup(b.ring.index[digestOf(keyNumber(1))], len(b.ring.index) > 0, b.now)
 				if err != nil {
 					t.Fatal(err)
--- a/internal/claim/unfinished.go
+++ b/internal/claim/unfinished.go
@@ -121,7 +121,7 @@
 // restUntilAdded waits for a new outcome or the next look at the old ones. It
 // returns false when ctx ended.
 func (n *Node) restUntilAdded(ctx context.Context) bool {
-	timer := time.NewTimer(n.options.jitters.around(n.options.TendInterval))
+	timer := time.NewTimer(n.options.jitters.around(n.options.CheckInterval))
 	defer timer.Stop()
 	select {
 	case <-n.unfinished.added:
--- a/internal/gateway/claimed.go
+++ b/internal/gateway/claimed.go
@@ -47,12 +47,12 @@
 // claim claims the call. Over the quota nothing new is claimed, but a repeat
 // is answered: its call has been counted, and asking again is how a caller
 // learns of an outcome that it must not guess.
-func (s *Server) claim(ctx context.Context, sc *serviceCall) (claim.Grant, error) {
+func (s *Server) claim(ctx context.Context, sc *serviceCall) (claim.BeginResult, error) {
 	refused := s.useRequest(sc.call)
 	if refused == nil {
 		return s.options.Ledger.Begin(ctx, sc.claimKey(), sc.fingerprint())
 	}
-	grant, known, err := s.options.Ledger.Known(ctx, sc.claimKey(), sc.fingerprint())
+	grant, known, err := s.options.Ledger.Lookup(ctx, sc.claimKey(), sc.fingerprint())
 	if err == nil && !known {
 		err = refused
 	}
--- a/internal/gateway/noledger.go
+++ b/internal/gateway/noledger.go
@@ -12,16 +12,16 @@
 type noLedger struct{}
 
 // Begin implements claim.Ledger.
-func (noLedger) Begin(context.Context, claim.Key, claim.Fingerprint) (claim.Grant, error) {
+func (noLedger) Begin(context.Context, claim.Key, claim.Fingerprint) (claim.BeginResult, error) {
 	refused := refusal.New(refusal.ClaimStoreDown, "claim", "this node has no platform to record the call in")
 	// Another node may have one, and have run an earlier request of the key.
 	refused.Outcome = refusal.Unknown
-	return claim.Grant{}, refused
+	return claim.BeginResult{}, refused
 }
 
-// Known implements claim.Ledger; nothing was ever claimed.
-func (noLedger) Known(context.Context, claim.Key, claim.Fingerprint) (claim.Grant, bool, error) {
-	return claim.Grant{}, false, nil
+// Lookup implements claim.Ledger; nothing was ever claimed.
+func (noLedger) Lookup(context.Context, claim.Key, claim.Fingerprint) (claim.BeginResult, bool, error) {
+	return claim.BeginResult{}, false, nil
 }
 
 // Finish implements claim.Ledger; nothing was ever begun.
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -139,7 +139,7 @@
 	if c == nil {
 		return 0
 	}
-	return c.ledger.Held()
+	return c.ledger.HeldShards()
 }
 
 // start begins to hold shards.
