--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -9,7 +9,7 @@
 var start = time.Date(2026, 3, 6, 20, 0, 0, 0, time.UTC)
 
 func TestExpectedFinish(t *testing.T) {
-	need := Need{Prefill: time.Second, Answer: 5 * time.Second}
+	need := RequestEstimate{Prefill: time.Second, Decode: 5 * time.Second}
 	usual := Candidate{Running: 2, Limit: 8, Slowness: 1, SameZone: true, ReportAge: -1}
 	with := func(change func(*Candidate)) Candidate {
 		c := usual
@@ -21,11 +21,11 @@
 	}{
 		"less busy":      {with(func(c *Candidate) { c.Running = 6 }), usual},
 		"faster":         {with(func(c *Candidate) { c.Slowness = 1.5 }), usual},
-		"cached":         {usual, with(func(c *Candidate) { c.Cached = 0.5 })},
+		"cached":         {usual, with(func(c *Candidate) { c.CachedFraction = 0.5 })},
 		"same zone":      {with(func(c *Candidate) { c.SameZone = false }), usual},
 		"reported idler": {with(func(c *Candidate) { c.ReportAge, c.ReportedRunning = 0, 60 }), with(func(c *Candidate) { c.ReportAge, c.ReportedRunning = 0, 4 })},
 		"fast over cached": {
-			with(func(c *Candidate) { c.Slowness, c.Cached = 2, 0.9 }), usual,
+			with(func(c *Candidate) { c.Slowness, c.CachedFraction = 2, 0.9 }), usual,
 		},
 	}
 	policy := ExpectedFinish{Rand: rand.New(rand.NewPCG(1, 1))}
@@ -42,35 +42,35 @@
 }
 
 func TestPaceNoticesSlownessAndSilenceAndForgets(t *testing.T) {
-	var p Pace
+	var p TokenLatency
 	for range 100 {
 		p.Observe(start, 0.250)
 	}
 	if got := p.Slowness(start, 0.025, 1, 0); got < 9 {
 		t.Errorf("slowness = %.1f, want about 10", got)
 	}
-	if got := p.Slowness(start.Add(10*forgetHalfLife), 0.025, 0, 0); got >= SuspectFrom {
-		t.Errorf("slowness = %.1f long after, want below %.1f", got, SuspectFrom)
+	if got := p.Slowness(start.Add(10*forgetHalfLife), 0.025, 0, 0); got >= SuspectThreshold {
+		t.Errorf("slowness = %.1f long after, want below %.1f", got, SuspectThreshold)
 	}
-	var quick Pace
+	var quick TokenLatency
 	for range 100 {
 		quick.Observe(start, 0.009)
 	}
-	if got := quick.Slowness(start, 0.001, 1, 0); got >= SuspectFrom {
-		t.Errorf("slowness = %.1f of a replica at 9 ms a token, want below %.1f", got, SuspectFrom)
+	if got := quick.Slowness(start, 0.001, 1, 0); got >= SuspectThreshold {
+		t.Errorf("slowness = %.1f of a replica at 9 ms a token, want below %.1f", got, SuspectThreshold)
 	}
-	var silent Pace
-	silent.Moved(start)
-	if got := silent.Slowness(start.Add(5*time.Second), 0.025, 1, time.Second); got < SuspectFrom {
-		t.Errorf("slowness = %.1f in silence, want at least %.1f", got, SuspectFrom)
+	var silent TokenLatency
+	silent.RecordProgress(start)
+	if got := silent.Slowness(start.Add(5*time.Second), 0.025, 1, time.Second); got < SuspectThreshold {
+		t.Errorf("slowness = %.1f in silence, want at least %.1f", got, SuspectThreshold)
 	}
-	if got := silent.Slowness(start.Add(5*time.Second), 0.025, 0, time.Second); got >= SuspectFrom {
+	if got := silent.Slowness(start.Add(5*time.Second), 0.025, 0, time.Second); got >= SuspectThreshold {
 		t.Errorf("slowness = %.1f of an idle replica, want the usual", got)
 	}
 }
 
 func TestPrefixesAreBoundedAndDropped(t *testing.T) {
-	var p Prefixes
+	var p PrefixHistory
 	for hash := range uint64(10 * maxPrefixes) {
 		p.Add([]uint64{hash})
 		if len(p.last) > maxPrefixes {
--- a/internal/balancer/candidate.go
+++ b/internal/balancer/candidate.go
@@ -10,8 +10,8 @@
 	// Slowness is the replica's time between tokens as a multiple of the
 	// usual one; 1 is usual.
 	Slowness float64
-	// Cached is the part of the prompt's prefill that the cache saves.
-	Cached float64
+	// CachedFraction is the part of the prompt's prefill that the cache saves.
+	CachedFraction float64
 	// SameZone says that the replica is in this node's availability zone.
 	SameZone bool
 	// ReportedRunning counts all nodes' requests there as last reported,
@@ -20,16 +20,16 @@
 	ReportAge       time.Duration
 }
 
-// Need is what is expected of the request.
-type Need struct {
+// RequestEstimate is what is expected of the request.
+type RequestEstimate struct {
 	// Prefill is the time to read the whole prompt, Answer the time to
 	// generate the answer, both at a usual replica.
 	Prefill time.Duration
-	Answer  time.Duration
+	Decode  time.Duration
 }
 
 // Policy chooses a replica.
 type Policy interface {
 	// Choose returns the index of one of at least one candidates.
-	Choose(need Need, candidates []Candidate) int
+	Choose(need RequestEstimate, candidates []Candidate) int
 }
--- a/internal/balancer/expected_finish.go
+++ b/internal/balancer/expected_finish.go
@@ -23,7 +23,7 @@
 }
 
 // Choose implements Policy.
-func (p ExpectedFinish) Choose(need Need, candidates []Candidate) int {
+func (p ExpectedFinish) Choose(need RequestEstimate, candidates []Candidate) int {
 	best := 0
 	least := math.Inf(1)
 	start := p.Rand.IntN(len(candidates))
@@ -36,10 +36,10 @@
 	return best
 }
 
-func finish(need Need, c *Candidate) float64 {
+func finish(need RequestEstimate, c *Candidate) float64 {
 	slowness := max(c.Slowness, 1)
-	seconds := need.Prefill.Seconds() * (1 - c.Cached) * slowness
-	seconds += need.Answer.Seconds() * slowness * (1 + loadPart*load(c))
+	seconds := need.Prefill.Seconds() * (1 - c.CachedFraction) * slowness
+	seconds += need.Decode.Seconds() * slowness * (1 + loadPart*load(c))
 	if !c.SameZone {
 		seconds += zoneCost.Seconds()
 	}
--- a/internal/balancer/pace.go
+++ b/internal/balancer/pace.go
@@ -8,8 +8,8 @@
 const (
 	// paceWeight is the weight of one token time in a replica's average.
 	paceWeight = 0.1
-	// SuspectFrom is the slowness from which a replica is a suspect.
-	SuspectFrom = 2.5
+	// SuspectThreshold is the slowness from which a replica is a suspect.
+	SuspectThreshold = 2.5
 	// forgetHalfLife is the time without news in which the slowness above
 	// the usual is halved, so that a suspect is tried again.
 	forgetHalfLife = 30 * time.Second
@@ -23,15 +23,15 @@
 	leastSilence = 0.5
 )
 
-// Pace is how fast a replica generates, as seen by this node.
-type Pace struct {
+// TokenLatency is how fast a replica generates, as seen by this node.
+type TokenLatency struct {
 	average float64
 	// moved is when the last token or binding was.
 	moved time.Time
 }
 
 // Observe takes in a time between tokens in seconds.
-func (p *Pace) Observe(now time.Time, seconds float64) {
+func (p *TokenLatency) Observe(now time.Time, seconds float64) {
 	p.moved = now
 	if p.average == 0 {
 		p.average = seconds
@@ -40,15 +40,15 @@
 	p.average += paceWeight * (seconds - p.average)
 }
 
-// Moved notes other progress at the replica: a binding to an idle one.
-func (p *Pace) Moved(now time.Time) { p.moved = now }
+// RecordProgress notes other progress at the replica: a binding to an idle one.
+func (p *TokenLatency) RecordProgress(now time.Time) { p.moved = now }
 
 // Average is the running average in seconds; zero: nothing seen.
-func (p *Pace) Average() float64 { return p.average }
+func (p *TokenLatency) Average() float64 { return p.average }
 
 // Slowness is the pace as a multiple of the usual one, in seconds. Of a replica
 // with running requests silence counts as well, beyond the allowed time.
-func (p *Pace) Slowness(now time.Time, usual float64, running int, allowed time.Duration) float64 {
+func (p *TokenLatency) Slowness(now time.Time, usual float64, running int, allowed time.Duration) float64 {
 	if usual <= 0 {
 		return 1
 	}
--- a/internal/balancer/two_choices.go
+++ b/internal/balancer/two_choices.go
@@ -9,7 +9,7 @@
 }
 
 // Choose implements Policy.
-func (p TwoChoices) Choose(_ Need, candidates []Candidate) int {
+func (p TwoChoices) Choose(_ RequestEstimate, candidates []Candidate) int {
 	first := p.Rand.IntN(len(candidates))
 	second := p.Rand.IntN(len(candidates))
 	if candidates[second].Running < candidates[first].Running {
--- a/internal/circuit/breaker.go
+++ b/internal/circuit/breaker.go
@@ -31,19 +31,19 @@
 	return !now.Before(b.openUntil) && !b.probing
 }
 
-// Bound tells that a request was given to the replica; while the circuit is
+// RecordDispatch tells that a request was given to the replica; while the circuit is
 // half-open it is the probe.
-func (b *Breaker) Bound() {
+func (b *Breaker) RecordDispatch() {
 	b.probing = b.failures > 0
 }
 
-// Succeeded closes the circuit.
-func (b *Breaker) Succeeded() {
+// RecordSuccess closes the circuit.
+func (b *Breaker) RecordSuccess() {
 	*b = Breaker{}
 }
 
-// Failed opens the circuit for a growing time.
-func (b *Breaker) Failed(now time.Time, random *rand.Rand) {
+// RecordFailure opens the circuit for a growing time.
+func (b *Breaker) RecordFailure(now time.Time, random *rand.Rand) {
 	b.probing = false
 	if b.failures > 0 && now.Before(b.openUntil) {
 		// Requests that were bound before the circuit opened fail together:
@@ -56,15 +56,15 @@
 	b.openUntil = now.Add(wait)
 }
 
-// Undecided tells that a request ended without saying anything of the replica,
+// RecordInconclusive tells that a request ended without saying anything of the replica,
 // such as one its caller gave up; a probe is then due again.
-func (b *Breaker) Undecided() {
+func (b *Breaker) RecordInconclusive() {
 	b.probing = false
 }
 
-// ReopensAt returns when an open circuit next lets a probe through; zero while
+// NextProbeAt returns when an open circuit next lets a probe through; zero while
 // it is closed or a probe is under way.
-func (b *Breaker) ReopensAt() time.Time {
+func (b *Breaker) NextProbeAt() time.Time {
 	if b.failures == 0 || b.probing {
 		return time.Time{}
 	}
--- a/internal/circuit/breaker_test.go
+++ b/internal/circuit/breaker_test.go
@@ -10,22 +10,22 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(0, 0)
 	var b Breaker
-	if !b.Allows(now) || !b.ReopensAt().IsZero() {
+	if !b.Allows(now) || !b.NextProbeAt().IsZero() {
 		t.Fatal("a new circuit is not closed")
 	}
-	b.Failed(now, random)
+	b.RecordFailure(now, random)
 	if b.Allows(now) {
 		t.Fatal("open circuit lets a request through")
 	}
-	now = b.ReopensAt()
+	now = b.NextProbeAt()
 	if !b.Allows(now) {
 		t.Fatal("no probe after the wait")
 	}
-	b.Bound()
+	b.RecordDispatch()
 	if b.Allows(now) {
 		t.Fatal("two probes at a time")
 	}
-	b.Succeeded()
+	b.RecordSuccess()
 	if !b.Allows(now) {
 		t.Fatal("a good probe does not close the circuit")
 	}
@@ -36,14 +36,14 @@
 	now := time.Unix(0, 0)
 	var b Breaker
 	for i := range 40 {
-		b.Failed(now, random)
-		wait := b.ReopensAt().Sub(now)
+		b.RecordFailure(now, random)
+		wait := b.NextProbeAt().Sub(now)
 		most := min(firstWait<<min(i, 10), maxWait)
 		if wait > most || wait < most/2 {
 			t.Fatalf("wait %d is %s, want between %s and %s", i, wait, most/2, most)
 		}
-		now = b.ReopensAt()
-		b.Bound()
+		now = b.NextProbeAt()
+		b.RecordDispatch()
 	}
 }
 
@@ -52,9 +52,9 @@
 	now := time.Unix(0, 0)
 	var b Breaker
 	for range 20 {
-		b.Failed(now, random)
+		b.RecordFailure(now, random)
 	}
-	if wait := b.ReopensAt().Sub(now); wait > firstWait {
+	if wait := b.NextProbeAt().Sub(now); wait > firstWait {
 		t.Errorf("twenty requests that failed together open the circuit for %s, want at most %s", wait, firstWait)
 	}
 }
@@ -63,10 +63,10 @@
 	random := rand.New(rand.NewPCG(4, 4))
 	now := time.Unix(0, 0)
 	var b Breaker
-	b.Failed(now, random)
-	now = b.ReopensAt()
-	b.Bound()
-	b.Undecided()
+	b.RecordFailure(now, random)
+	now = b.NextProbeAt()
+	b.RecordDispatch()
+	b.RecordInconclusive()
 	if !b.Allows(now) {
 		t.Error("no probe after one that its caller gave up")
 	}
--- a/internal/concurrency/floor.go
+++ b/internal/concurrency/floor.go
@@ -6,16 +6,16 @@
 // for as long again as the one before.
 const generation = 5 * time.Minute
 
-// Floor keeps the least average time between tokens of the last minutes: what
+// LatencyFloor keeps the least average time between tokens of the last minutes: what
 // the replica takes when it is almost idle.
-type Floor struct {
+type LatencyFloor struct {
 	current  float64
 	previous float64
 	began    time.Time
 }
 
 // Observe takes in a window's average in seconds.
-func (f *Floor) Observe(now time.Time, average float64) {
+func (f *LatencyFloor) Observe(now time.Time, average float64) {
 	if now.Sub(f.began) >= generation {
 		f.previous = f.current
 		f.current = average
@@ -26,7 +26,7 @@
 }
 
 // Value returns the least average in seconds, zero while there is none.
-func (f *Floor) Value() float64 {
+func (f *LatencyFloor) Value() float64 {
 	if f.previous > 0 {
 		return min(f.previous, f.current)
 	}
--- a/internal/concurrency/limit.go
+++ b/internal/concurrency/limit.go
@@ -55,9 +55,9 @@
 // Value returns the limit; it is at least 1.
 func (l *Limit) Value() int { return int(l.limit + l.offset) }
 
-// Used notes how many requests run, to tell whether the limit is used up, and
+// RecordUsage notes how many requests run, to tell whether the limit is used up, and
 // whether requests of the highest tier wait.
-func (l *Limit) Used(running int, urgent bool) {
+func (l *Limit) RecordUsage(running int, urgent bool) {
 	if running >= l.Value() {
 		l.used = true
 	}
@@ -110,9 +110,9 @@
 	return growth
 }
 
-// Shrink sets the limit to 1 at once, for a straggler. Once the replica is fast
+// ShrinkToOne sets the limit to 1 at once, for a straggler. Once the replica is fast
 // again the limit comes back quickly.
-func (l *Limit) Shrink() {
+func (l *Limit) ShrinkToOne() {
 	l.before = max(l.before, l.limit)
 	l.limit = 1
 }
--- a/internal/concurrency/limit_test.go
+++ b/internal/concurrency/limit_test.go
@@ -11,7 +11,7 @@
 func drive(l *Limit, now time.Time, windows int, seconds float64) time.Time {
 	for range windows {
 		for range minSamples + 2 {
-			l.Used(l.Value(), false)
+			l.RecordUsage(l.Value(), false)
 			l.Observe(now, seconds, 0.020)
 			now = now.Add(window / minSamples)
 		}
@@ -40,7 +40,7 @@
 	l = NewLimit(4, 0)
 	now = drive(l, now, 50, 0.100)
 	for n := range 1000 {
-		l.Used(0, false)
+		l.RecordUsage(0, false)
 		l.Observe(now.Add(time.Duration(n)*time.Second), 0.020, 0.020)
 	}
 	if got := l.Value(); got != 1 {
@@ -50,7 +50,7 @@
 
 func TestShrunkLimitComesBackQuickly(t *testing.T) {
 	l := NewLimit(16, 0)
-	l.Shrink()
+	l.ShrinkToOne()
 	if got := l.Value(); got != 1 {
 		t.Fatalf("limit = %d after Shrink, want 1", got)
 	}
@@ -71,7 +71,7 @@
 }
 
 func TestFloorForgets(t *testing.T) {
-	var f Floor
+	var f LatencyFloor
 	f.Observe(start, 0.020)
 	f.Observe(start.Add(time.Second), 0.030)
 	if got := f.Value(); got != 0.020 {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// Report gives a replica's load report to the decisions.
-func (d *Dispatcher) Report(upstream, replica string, load router.LoadReport) {
+// RecordLoad gives a replica's load report to the decisions.
+func (d *Dispatcher) RecordLoad(upstream, replica string, load router.LoadReport) {
 	if s := d.shard(upstream); s != nil {
 		s.update(func(now time.Time) { s.pool.RecordLoad(now, replica, load) })
 	}
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -29,14 +29,14 @@
 // suspect.
 const tokenBatch = 100 * time.Millisecond
 
-// FirstToken tells the decisions that the answer has begun.
-func (s *Slot) FirstToken() {
+// RecordFirstToken tells the decisions that the answer has begun.
+func (s *Slot) RecordFirstToken() {
 	s.shard.update(func(now time.Time) { s.shard.pool.RecordFirstToken(now, s.id) })
 }
 
-// Tokens counts n more tokens. The decisions are told of them in batches, since
+// RecordTokens counts n more tokens. The decisions are told of them in batches, since
 // all requests of the upstream share the pool's lock. It is for one goroutine.
-func (s *Slot) Tokens(n int) {
+func (s *Slot) RecordTokens(n int) {
 	s.untold += n
 	now := time.Now()
 	if now.Sub(s.toldAt) < tokenBatch {
--- a/internal/gateway/again.go
+++ b/internal/gateway/again.go
@@ -54,7 +54,7 @@
 		a.NotRunBefore--
 	}
 	if e.sink.begun() {
-		a.Delivered = max(1, e.tokens)
+		a.DeliveredTokens = max(1, e.tokens)
 	}
 	return a
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -67,7 +67,7 @@
 	if !e.streamed() {
 		return time.Until(e.call.giveUpAt)
 	}
-	return e.server.options.Retries.Patience(e.call.class.Name, e.completion.upstream.Name)
+	return e.server.options.Retries.FirstTokenTimeout(e.call.class.Name, e.completion.upstream.Name)
 }
 
 // close ends the attempt with its error, or nil for a whole answer.
@@ -93,7 +93,7 @@
 func (a *attempt) token(began bool) {
 	a.tokens++
 	if began {
-		a.slot.Tokens(1)
+		a.slot.RecordTokens(1)
 		return
 	}
 	e := a.exchange
@@ -101,7 +101,7 @@
 	if e.first.IsZero() {
 		e.first = now
 	}
-	a.slot.FirstToken()
+	a.slot.RecordFirstToken()
 	e.call.timeline.Add(now, &explain.FirstToken{Attempt: a.number, Peer: a.slot.Replica.Address})
 	e.server.guard.running.Answered(a.run)
 	if e.completion.opaque {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -191,7 +191,7 @@
 
 func (e *exchange) finish() {
 	now := time.Now()
-	e.server.options.Retries.Succeeded(now, e.call.class.Name, e.completion.upstream.Name)
+	e.server.options.Retries.RecordSuccess(now, e.call.class.Name, e.completion.upstream.Name)
 	err := e.sink.end()
 	e.keepEnd()
 	if err != nil && !e.followed() {
--- a/internal/gateway/hedge.go
+++ b/internal/gateway/hedge.go
@@ -26,7 +26,7 @@
 // allows it, a second one beside it. It returns the attempt that answered first,
 // or the last one that failed; the other is closed.
 func (e *exchange) openAttempt(ctx context.Context, primary *attempt, body []byte) *attempt {
-	after, allowed := e.server.options.Retries.HedgeAfter(e.hedge(0))
+	after, allowed := e.server.options.Retries.HedgeDelay(e.hedge(0))
 	if !allowed {
 		primary.open(ctx, body)
 		return primary
@@ -108,8 +108,8 @@
 }
 
 // hedge is what the decision on a second attempt needs to know.
-func (e *exchange) hedge(waited time.Duration) retry.Hedge {
-	return retry.Hedge{
+func (e *exchange) hedge(waited time.Duration) retry.HedgeCandidate {
+	return retry.HedgeCandidate{
 		Class:      e.call.class.Name,
 		Upstream:   e.completion.upstream.Name,
 		Tier:       e.call.class.Tier,
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -177,7 +177,7 @@
 	slot.Finish(resultOf(err))
 	sc.call.ended(attempt, slot, 0, err)
 	if err == nil {
-		s.options.Retries.Succeeded(time.Now(), sc.call.class.Name, sc.upstream.Name)
+		s.options.Retries.RecordSuccess(time.Now(), sc.call.class.Name, sc.upstream.Name)
 	}
 	return answer, slot.Replica.Name, err
 }
--- a/internal/retry/attempt.go
+++ b/internal/retry/attempt.go
@@ -15,14 +15,14 @@
 	NotRunBefore int
 	// Repeatable says that running the call twice does no harm.
 	Repeatable bool
-	// Delivered is the number of tokens the caller has seen.
-	Delivered int
+	// DeliveredTokens is the number of tokens the caller has seen.
+	DeliveredTokens int
 	// Continuable says that an engine can go on from the delivered prefix.
 	Continuable bool
 	// Remaining is the time until an answer is of no more use.
 	Remaining time.Duration
-	// Needed is the least time another attempt takes; zero where unknown.
-	Needed time.Duration
+	// MinDuration is the least time another attempt takes; zero where unknown.
+	MinDuration time.Duration
 }
 
 // mayHaveRun says whether any attempt so far may have run.
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -14,8 +14,8 @@
 	hedgeTier = 0
 )
 
-// Hedge tells of a request whose only attempt has brought no token yet.
-type Hedge struct {
+// HedgeCandidate tells of a request whose only attempt has brought no token yet.
+type HedgeCandidate struct {
 	Class    string
 	Upstream string
 	Tier     int
@@ -36,9 +36,9 @@
 	p.latencies.observe(now, budgetKey{class, upstream}, d)
 }
 
-// HedgeAfter returns how long to wait for the first token before asking
+// HedgeDelay returns how long to wait for the first token before asking
 // ShouldHedge, or false where no hedge is to be made.
-func (p *Policy) HedgeAfter(h Hedge) (time.Duration, bool) {
+func (p *Policy) HedgeDelay(h HedgeCandidate) (time.Duration, bool) {
 	if !h.Allowed || !h.Repeatable || h.Tier != hedgeTier || h.Attempts != 1 {
 		return 0, false
 	}
@@ -49,9 +49,9 @@
 	return after, true
 }
 
-// Patience returns the longest that an attempt may stay without its first
+// FirstTokenTimeout returns the longest that an attempt may stay without its first
 // token before it is given up as hanging; zero where too little is known.
-func (p *Policy) Patience(class, upstream string) time.Duration {
+func (p *Policy) FirstTokenTimeout(class, upstream string) time.Duration {
 	late, known := p.latencies.quantile(budgetKey{class, upstream}, hedgeQuantile)
 	if !known {
 		return 0
@@ -61,8 +61,8 @@
 
 // ShouldHedge says whether to start a second attempt now. A yes is charged to
 // the retry budget at once.
-func (p *Policy) ShouldHedge(now time.Time, h Hedge) bool {
-	after, allowed := p.HedgeAfter(h)
+func (p *Policy) ShouldHedge(now time.Time, h HedgeCandidate) bool {
+	after, allowed := p.HedgeDelay(h)
 	if !allowed || h.Waited < after {
 		return false
 	}
--- a/internal/retry/hedge_test.go
+++ b/internal/retry/hedge_test.go
@@ -8,28 +8,28 @@
 )
 
 func TestHedge(t *testing.T) {
-	allowed := Hedge{
+	allowed := HedgeCandidate{
 		Class: "quick", Upstream: "llm", Allowed: true, Repeatable: true,
 		Waited: time.Second, Remaining: time.Minute, Attempts: 1,
 	}
-	change := func(f func(*Hedge)) Hedge {
+	change := func(f func(*HedgeCandidate)) HedgeCandidate {
 		h := allowed
 		f(&h)
 		return h
 	}
 	tests := []struct {
 		name  string
-		hedge Hedge
+		hedge HedgeCandidate
 		want  bool
 	}{
 		{"late", allowed, true},
-		{"not yet late", change(func(h *Hedge) { h.Waited = 90 * time.Millisecond }), false},
-		{"class does not allow", change(func(h *Hedge) { h.Allowed = false }), false},
-		{"lower tier", change(func(h *Hedge) { h.Tier = 1 }), false},
-		{"unrepeatable", change(func(h *Hedge) { h.Repeatable = false }), false},
-		{"second attempt already", change(func(h *Hedge) { h.Attempts = 2 }), false},
-		{"no samples", change(func(h *Hedge) { h.Class = "other" }), false},
-		{"of no use", change(func(h *Hedge) { h.Waited, h.Remaining = 40*time.Millisecond, 50*time.Millisecond }), false},
+		{"not yet late", change(func(h *HedgeCandidate) { h.Waited = 90 * time.Millisecond }), false},
+		{"class does not allow", change(func(h *HedgeCandidate) { h.Allowed = false }), false},
+		{"lower tier", change(func(h *HedgeCandidate) { h.Tier = 1 }), false},
+		{"unrepeatable", change(func(h *HedgeCandidate) { h.Repeatable = false }), false},
+		{"second attempt already", change(func(h *HedgeCandidate) { h.Attempts = 2 }), false},
+		{"no samples", change(func(h *HedgeCandidate) { h.Class = "other" }), false},
+		{"of no use", change(func(h *HedgeCandidate) { h.Waited, h.Remaining = 40*time.Millisecond, 50*time.Millisecond }), false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 	}
 	hedges := 0
 	for range 100 {
-		if policy.ShouldHedge(start, Hedge{
+		if policy.ShouldHedge(start, HedgeCandidate{
 			Class: "quick", Upstream: "llm", Allowed: true, Repeatable: true,
 			Waited: time.Second, Remaining: time.Second, Attempts: 1,
 		}) {
@@ -72,26 +72,26 @@
 	}
 	observe("quick", 10*time.Millisecond)
 	observe("slow", time.Second)
-	if got := policy.Patience("other", "llm"); got != 0 {
+	if got := policy.FirstTokenTimeout("other", "llm"); got != 0 {
 		t.Errorf("patience %v without samples, want 0", got)
 	}
-	if got := policy.Patience("quick", "llm"); got != leastPatience {
+	if got := policy.FirstTokenTimeout("quick", "llm"); got != leastPatience {
 		t.Errorf("patience %v, want the least, %v", got, leastPatience)
 	}
-	if got := policy.Patience("slow", "llm"); got < 9*time.Second || got > 11*time.Second {
+	if got := policy.FirstTokenTimeout("slow", "llm"); got < 9*time.Second || got > 11*time.Second {
 		t.Errorf("patience %v, want about 10 s", got)
 	}
 }
 
 func TestOldLatenciesAreForgotten(t *testing.T) {
 	policy := NewPolicy(config.Limits{})
-	hedge := Hedge{Class: "quick", Upstream: "llm", Allowed: true, Repeatable: true, Remaining: time.Hour, Attempts: 1}
+	hedge := HedgeCandidate{Class: "quick", Upstream: "llm", Allowed: true, Repeatable: true, Remaining: time.Hour, Attempts: 1}
 	for generation, latency := range []time.Duration{time.Second, 10 * time.Second} {
 		now := start.Add(time.Duration(generation) * generationSpan)
 		for range minSamples {
 			policy.ObserveFirstToken(now, "quick", "llm", latency)
 		}
-		after, ok := policy.HedgeAfter(hedge)
+		after, ok := policy.HedgeDelay(hedge)
 		if !ok || after < latency*9/10 || after > latency*11/10 {
 			t.Fatalf("hedge after %v, %v; want about %v", after, ok, latency)
 		}
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -44,8 +44,8 @@
 	p.limits.Store(&limits)
 }
 
-// Succeeded feeds the budget with one whole answer.
-func (p *Policy) Succeeded(now time.Time, class, upstream string) {
+// RecordSuccess feeds the budget with one whole answer.
+func (p *Policy) RecordSuccess(now time.Time, class, upstream string) {
 	p.budget.succeeded(now, budgetKey{class, upstream})
 }
 
@@ -61,7 +61,7 @@
 			Reason: refusal.RetryBudgetSpent, Message: "the retry budget is spent", RetryAfter: retryAfter,
 		})
 	}
-	if a.Delivered > 0 {
+	if a.DeliveredTokens > 0 {
 		return Decision{Action: Continue, Reason: reasonOf(a)}
 	}
 	return Decision{Action: Retry, Reason: reasonOf(a)}
@@ -75,9 +75,9 @@
 		return &refusal.Error{Reason: refusal.OutcomeUnknown, Message: "the call may have run and is not repeated"}
 	case a.Result == Rejected:
 		return &refusal.Error{Reason: refusal.UpstreamRefused, Message: "the upstream rejected the request"}
-	case a.Delivered > 0 && !a.Continuable:
+	case a.DeliveredTokens > 0 && !a.Continuable:
 		return &refusal.Error{Reason: refusal.UpstreamFailed, Message: "the answer broke off and cannot be continued"}
-	case a.Remaining <= a.Needed:
+	case a.Remaining <= a.MinDuration:
 		return &refusal.Error{Reason: exhausted(a), Message: "no time is left for another attempt"}
 	case a.ran() >= maxAttempts || a.Number-a.ran() >= maxNotRun:
 		return &refusal.Error{Reason: exhausted(a), Message: "all attempts failed", RetryAfter: retryAfter}
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -40,11 +40,11 @@
 		{"broken before", firstFailure(Broken), Retry, ReasonBroken, "", ""},
 		{"crashed", firstFailure(Crashed), Retry, ReasonCrashed, "", ""},
 		{"timed out", firstFailure(TimedOut), Retry, ReasonTimedOut, "", ""},
-		{"broken in the answer", with(firstFailure(Broken), func(a *Attempt) { a.Delivered = 3 }),
+		{"broken in the answer", with(firstFailure(Broken), func(a *Attempt) { a.DeliveredTokens = 3 }),
 			Continue, ReasonBrokenAnswer, "", ""},
-		{"crashed in the answer", with(firstFailure(Crashed), func(a *Attempt) { a.Delivered = 3 }),
+		{"crashed in the answer", with(firstFailure(Crashed), func(a *Attempt) { a.DeliveredTokens = 3 }),
 			Continue, ReasonCrashed, "", ""},
-		{"not continuable", with(firstFailure(Broken), func(a *Attempt) { a.Delivered, a.Continuable = 3, false }),
+		{"not continuable", with(firstFailure(Broken), func(a *Attempt) { a.DeliveredTokens, a.Continuable = 3, false }),
 			GiveUp, "", refusal.UpstreamFailed, refusal.Unknown},
 		{"rejected", firstFailure(Rejected), GiveUp, "", refusal.UpstreamRefused, refusal.Unknown},
 		{"unrepeatable, not run", with(firstFailure(NotRun), func(a *Attempt) { a.Repeatable = false }),
@@ -55,7 +55,7 @@
 			GiveUp, "", refusal.OutcomeUnknown, refusal.Unknown},
 		{"no time, not run", with(firstFailure(NotRun), func(a *Attempt) { a.Remaining = 0 }),
 			GiveUp, "", refusal.UpstreamRefused, refusal.NotRun},
-		{"too little time", with(firstFailure(TimedOut), func(a *Attempt) { a.Needed = time.Hour }),
+		{"too little time", with(firstFailure(TimedOut), func(a *Attempt) { a.MinDuration = time.Hour }),
 			GiveUp, "", refusal.UpstreamTimeout, refusal.Unknown},
 		{"last attempt", with(firstFailure(Crashed), func(a *Attempt) { a.Number = 3 }),
 			GiveUp, "", refusal.UpstreamFailed, refusal.Unknown},
@@ -131,8 +131,8 @@
 		t.Fatalf("%d not run granted, want %d", n, notRunAllowance)
 	}
 	for range 200 {
-		policy.Succeeded(start, "quick", "llm")
-		policy.Succeeded(start, "slow", "llm")
+		policy.RecordSuccess(start, "quick", "llm")
+		policy.RecordSuccess(start, "slow", "llm")
 	}
 	if n := granted(start, NotRun, 100); n != 10 {
 		t.Fatalf("%d more granted after 200 successes at 0.2, want 10: 40 less %d and %d", n, notRunAllowance, floor)
@@ -149,7 +149,7 @@
 func TestBudgetMemoryIsBounded(t *testing.T) {
 	policy := NewPolicy(config.Limits{})
 	for i := range 3 * budgetShards * maxKeysPerShard {
-		policy.Succeeded(start, string(rune(i)), "llm")
+		policy.RecordSuccess(start, string(rune(i)), "llm")
 		policy.ObserveFirstToken(start, string(rune(i)), "llm", time.Second)
 	}
 	for i := range policy.budget.shards {
--- a/internal/retry/reason.go
+++ b/internal/retry/reason.go
@@ -30,7 +30,7 @@
 	case TimedOut:
 		return ReasonTimedOut
 	default:
-		if a.Delivered > 0 {
+		if a.DeliveredTokens > 0 {
 			return ReasonBrokenAnswer
 		}
 		return ReasonBroken
--- a/internal/retry/storm_test.go
+++ b/internal/retry/storm_test.go
@@ -107,7 +107,7 @@
 func (s *storm) end(e stormEvent) {
 	now := start.Add(e.at)
 	if e.attempt.Result == "" {
-		s.policy.Succeeded(now, e.attempt.Class, e.attempt.Upstream)
+		s.policy.RecordSuccess(now, e.attempt.Class, e.attempt.Upstream)
 		return
 	}
 	if s.learns {
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -20,6 +20,6 @@
 func choiceOf(c *balancer.Candidate, fit int) Choice {
 	return Choice{
 		Eligible: fit, Running: c.Running, Limit: c.Limit,
-		Slowness: c.Slowness, Cached: c.Cached, SameZone: c.SameZone,
+		Slowness: c.Slowness, Cached: c.CachedFraction, SameZone: c.SameZone,
 	}
 }
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -160,7 +160,7 @@
 // only while requests of the same or a higher tier wait: a request is never
 // refused by expectation for the sake of lower tiers, or of an idle replica.
 func (p *Pool) hopeful(now time.Time, request *Request, class *classState) bool {
-	first := p.queue.FirstTier()
+	first := p.queue.HighestTier()
 	if p.without.Admission || first < 0 || first > class.Tier {
 		return true
 	}
--- a/internal/router/pool_choose.go
+++ b/internal/router/pool_choose.go
@@ -19,9 +19,9 @@
 	for _, r := range free {
 		p.candidates = append(p.candidates, p.candidate(now, request, r))
 	}
-	need := balancer.Need{
+	need := balancer.RequestEstimate{
 		Prefill: p.speed.ServiceTime(request.PromptTokens, 0),
-		Answer:  p.speed.ServiceTime(0, p.length(request, estimate.Median, usualTokens)),
+		Decode:  p.speed.ServiceTime(0, p.length(request, estimate.Median, usualTokens)),
 	}
 	chosen := p.balancer.Choose(need, p.candidates)
 	return free[chosen], choiceOf(&p.candidates[chosen], len(free))
@@ -30,7 +30,7 @@
 func (p *Pool) candidate(now time.Time, request *Request, r *replicaState) balancer.Candidate {
 	c := balancer.Candidate{
 		Running: r.running, Limit: r.limit(), Slowness: r.slowness,
-		Cached:          p.cacheGain * r.prefixes.Match(request.PrefixHashes),
+		CachedFraction:  p.cacheGain * r.prefixes.Match(request.PrefixHashes),
 		SameZone:        r.AvailabilityZone == p.zone,
 		ReportedRunning: r.report.Running,
 		ReportAge:       -1,
--- a/internal/router/pool_item.go
+++ b/internal/router/pool_item.go
@@ -20,12 +20,12 @@
 // newItem works out a request's place in the queue.
 func (p *Pool) newItem(request Request, class *classState) *item {
 	i := &item{
-		Workspace: request.Workspace,
-		Arrived:   request.Arrived,
-		Latest:    p.latestStart(&request),
-		Useless:   p.uselessFrom(&request),
-		Cost:      float64(request.PromptTokens) + p.length(&request, estimate.Median, usualTokens),
-		Value:     &waiting{request: request, class: class},
+		Workspace:   request.Workspace,
+		Arrived:     request.Arrived,
+		LatestStart: p.latestStart(&request),
+		ExpiresAt:   p.uselessFrom(&request),
+		Cost:        float64(request.PromptTokens) + p.length(&request, estimate.Median, usualTokens),
+		Value:       &waiting{request: request, class: class},
 	}
 	if p.without.FairShare {
 		i.Workspace = ""
--- a/internal/router/pool_model_test.go
+++ b/internal/router/pool_model_test.go
@@ -94,7 +94,7 @@
 	shared := make(map[string]int)
 	for id, name := range m.running {
 		perReplica[name]++
-		if m.pool.running[id].item.ByShare() {
+		if m.pool.running[id].item.ByMinShare() {
 			shared[m.requests[id].Class]++
 		}
 	}
--- a/internal/router/pool_next.go
+++ b/internal/router/pool_next.go
@@ -18,7 +18,7 @@
 }
 
 func (p *Pool) expire(now time.Time, events []Decision) []Decision {
-	for i := p.queue.Expired(now); i != nil; i = p.queue.Expired(now) {
+	for i := p.queue.PopExpired(now); i != nil; i = p.queue.PopExpired(now) {
 		events = append(events, p.giveUpLate(now, i))
 	}
 	return events
@@ -90,11 +90,11 @@
 	p.stats.Bound++
 	i.Value.class.running++
 	if replica.running == 0 {
-		replica.pace.Moved(now)
+		replica.pace.RecordProgress(now)
 	}
 	replica.running++
-	replica.circuit.Bound()
-	replica.learned.Used(replica.running, p.urgent())
+	replica.circuit.RecordDispatch()
+	replica.learned.RecordUsage(replica.running, p.urgent())
 	cached := replica.prefixes.Match(i.Value.request.PrefixHashes)
 	replica.prefixes.Add(i.Value.request.PrefixHashes)
 	id := i.Value.request.ID
--- a/internal/router/pool_pace.go
+++ b/internal/router/pool_pace.go
@@ -43,14 +43,14 @@
 		case !works:
 			r.slowness = 1
 		case !p.without.AdaptiveLimits:
-			r.learned.Shrink()
+			r.learned.ShrinkToOne()
 		}
 	}
 }
 
 // urgent says whether a request of the highest tier waits.
 func (p *Pool) urgent() bool {
-	return p.queue.FirstTier() == p.highestTier
+	return p.queue.HighestTier() == p.highestTier
 }
 
 // patience is how long a replica may be silent while it reads a long prompt.
--- a/internal/router/pool_progress.go
+++ b/internal/router/pool_progress.go
@@ -17,11 +17,11 @@
 	if !ok || !r.firstToken.IsZero() {
 		return
 	}
-	r.replica.circuit.Succeeded()
+	r.replica.circuit.RecordSuccess()
 	r.firstToken = now
 	r.lastToken = now
 	r.tokens = 1
-	r.replica.pace.Moved(now)
+	r.replica.pace.RecordProgress(now)
 	p.learnPrefill(&r.item.Value.request, r, now.Sub(r.boundAt))
 }
 
@@ -74,7 +74,7 @@
 	delete(p.running, id)
 	p.learn(now, r, result)
 	p.judge(now, r.replica, result)
-	p.queue.Ended(now, r.item, now.Sub(r.boundAt), p.slots())
+	p.queue.ReleaseMinShare(now, r.item, now.Sub(r.boundAt), p.slots())
 	r.item.Value.class.running--
 	r.replica.running--
 	p.forgetRemoved()
@@ -96,11 +96,11 @@
 func (p *Pool) judge(now time.Time, replica *replicaState, result Result) {
 	switch result {
 	case ResultDone:
-		replica.circuit.Succeeded()
+		replica.circuit.RecordSuccess()
 	case ResultCrashed, ResultNotRun:
-		replica.circuit.Failed(now, p.rand)
+		replica.circuit.RecordFailure(now, p.rand)
 	default:
-		replica.circuit.Undecided()
+		replica.circuit.RecordInconclusive()
 	}
 }
 
@@ -112,7 +112,7 @@
 		return next
 	}
 	for _, r := range p.order {
-		if at := r.circuit.ReopensAt(); at.After(now) {
+		if at := r.circuit.NextProbeAt(); at.After(now) {
 			next = earlier(next, at)
 		}
 	}
--- a/internal/router/pool_stats.go
+++ b/internal/router/pool_stats.go
@@ -7,7 +7,7 @@
 )
 
 func (p *Pool) slack(now time.Time, class string) time.Duration {
-	latest := p.queue.Earliest(class)
+	latest := p.queue.MinLatestStart(class)
 	if latest.IsZero() {
 		return 0
 	}
--- a/internal/router/replica_state.go
+++ b/internal/router/replica_state.go
@@ -24,9 +24,9 @@
 	// circuit keeps requests off a replica that fails at once.
 	circuit  circuit.Breaker
 	learned  *concurrency.Limit
-	floor    concurrency.Floor
-	pace     balancer.Pace
-	prefixes balancer.Prefixes
+	floor    concurrency.LatencyFloor
+	pace     balancer.TokenLatency
+	prefixes balancer.PrefixHistory
 	// slowness is the pace as a multiple of the pool's usual one.
 	slowness float64
 }
@@ -65,11 +65,11 @@
 
 // works says whether the replica is open and did not fail last.
 func (r *replicaState) works(now time.Time) bool {
-	return r.open() && r.circuit.Allows(now) && r.circuit.ReopensAt().IsZero()
+	return r.open() && r.circuit.Allows(now) && r.circuit.NextProbeAt().IsZero()
 }
 
 // suspect says whether the replica is taken for a straggler.
-func (r *replicaState) suspect() bool { return r.slowness >= balancer.SuspectFrom }
+func (r *replicaState) suspect() bool { return r.slowness >= balancer.SuspectThreshold }
 
 // forgettable says whether nothing holds the replica any more.
 func (r *replicaState) forgettable() bool { return r.removed && r.running == 0 }
--- a/internal/scheduler/class_queue.go
+++ b/internal/scheduler/class_queue.go
@@ -40,19 +40,19 @@
 func (c *classQueue[T]) push(now time.Time, item *Item[T]) {
 	item.class = c
 	live := c.len() + 1
-	if item.Latest.Before(now) {
+	if item.LatestStart.Before(now) {
 		c.late.push(item, item.Arrived.UnixNano())
 	} else {
-		c.onTime.push(item, item.Latest.UnixNano())
-		c.byLatest.add(item, item.Latest.UnixNano(), c.onTime.live)
+		c.onTime.push(item, item.LatestStart.UnixNano())
+		c.byLatest.add(item, item.LatestStart.UnixNano(), c.onTime.live)
 	}
 	c.byArrival.add(item, item.Arrived.UnixNano(), live)
-	c.byUseless.add(item, item.Useless.UnixNano(), live)
+	c.byUseless.add(item, item.ExpiresAt.UnixNano(), live)
 }
 
 // demote moves the items that can no longer meet their target.
 func (c *classQueue[T]) demote(now time.Time) {
-	for item := c.byLatest.first(); item != nil && item.Latest.Before(now); item = c.byLatest.first() {
+	for item := c.byLatest.first(); item != nil && item.LatestStart.Before(now); item = c.byLatest.first() {
 		c.onTime.remove(item)
 		c.late.push(item, item.Arrived.UnixNano())
 	}
--- a/internal/scheduler/expire.go
+++ b/internal/scheduler/expire.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Expired takes out an item that is no longer of use at now, or returns nil.
-func (q *Queue[T]) Expired(now time.Time) *Item[T] {
+// PopExpired takes out an item that is no longer of use at now, or returns nil.
+func (q *Queue[T]) PopExpired(now time.Time) *Item[T] {
 	for _, c := range q.classes {
 		item := c.byUseless.first()
-		if item != nil && !item.Useless.After(now) {
+		if item != nil && !item.ExpiresAt.After(now) {
 			q.Remove(item)
 			return item
 		}
@@ -14,17 +14,17 @@
 	return nil
 }
 
-// Earliest returns the earliest latest start of the class's waiting items, of the
+// MinLatestStart returns the earliest latest start of the class's waiting items, of the
 // late ones that of the oldest; zero: none waits.
-func (q *Queue[T]) Earliest(class string) time.Time {
+func (q *Queue[T]) MinLatestStart(class string) time.Time {
 	var earliest time.Time
 	c, ok := q.byName[class]
 	if !ok {
 		return earliest
 	}
 	for _, item := range []*Item[T]{c.byLatest.first(), c.byArrival.first()} {
-		if item != nil && (earliest.IsZero() || item.Latest.Before(earliest)) {
-			earliest = item.Latest
+		if item != nil && (earliest.IsZero() || item.LatestStart.Before(earliest)) {
+			earliest = item.LatestStart
 		}
 	}
 	return earliest
@@ -35,8 +35,8 @@
 	var next time.Time
 	for _, c := range q.classes {
 		item := c.byUseless.first()
-		if item != nil && (next.IsZero() || item.Useless.Before(next)) {
-			next = item.Useless
+		if item != nil && (next.IsZero() || item.ExpiresAt.Before(next)) {
+			next = item.ExpiresAt
 		}
 	}
 	return next
--- a/internal/scheduler/item.go
+++ b/internal/scheduler/item.go
@@ -8,10 +8,10 @@
 	Workspace string
 	// Arrived is when the request came.
 	Arrived time.Time
-	// Latest is the latest start that is expected to meet the target.
-	Latest time.Time
-	// Useless is when a start is no longer expected to be of any use.
-	Useless time.Time
+	// LatestStart is the latest start that is expected to meet the target.
+	LatestStart time.Time
+	// ExpiresAt is when a start is no longer expected to be of any use.
+	ExpiresAt time.Time
 	// Cost is the expected use in tokens; it must be above zero.
 	Cost float64
 	// Value is the caller's own.
@@ -26,11 +26,11 @@
 	byShare bool
 }
 
-// ByShare says whether the item left the queue by its class's minimum share.
-func (i *Item[T]) ByShare() bool { return i.byShare }
+// ByMinShare says whether the item left the queue by its class's minimum share.
+func (i *Item[T]) ByMinShare() bool { return i.byShare }
 
-// Waits says whether the item is in the queue.
-func (i *Item[T]) Waits() bool { return i.state == onTime || i.state == late }
+// Queued says whether the item is in the queue.
+func (i *Item[T]) Queued() bool { return i.state == onTime || i.state == late }
 
 type itemState int
 
--- a/internal/scheduler/lazyheap.go
+++ b/internal/scheduler/lazyheap.go
@@ -70,7 +70,7 @@
 
 func (h *lazyHeap[T]) valid(e *entry[T]) bool {
 	if h.anyState {
-		return e.item.Waits() && e.item.sequence == e.sequence
+		return e.item.Queued() && e.item.sequence == e.sequence
 	}
 	return e.valid()
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -84,7 +84,7 @@
 
 // Remove takes a waiting item out.
 func (q *Queue[T]) Remove(item *Item[T]) {
-	if !item.Waits() {
+	if !item.Queued() {
 		return
 	}
 	item.class.band(item).remove(item)
@@ -137,7 +137,7 @@
 	if mine, others := i.tag(), other.tag(); byShare && mine != others {
 		return mine < others
 	}
-	return i.Latest.Before(other.Latest)
+	return i.LatestStart.Before(other.LatestStart)
 }
 
 // tag is the start tag of a waiting item's workspace.
@@ -167,8 +167,8 @@
 	band.shift(band.flows[item.Workspace], -charge)
 }
 
-// Ended gives back the share's slot of an item that left by share and held it.
-func (q *Queue[T]) Ended(now time.Time, item *Item[T], held time.Duration, slots int) {
+// ReleaseMinShare gives back the share's slot of an item that left by share and held it.
+func (q *Queue[T]) ReleaseMinShare(now time.Time, item *Item[T], held time.Duration, slots int) {
 	if !item.byShare {
 		return
 	}
@@ -177,8 +177,8 @@
 	c.share.ended(now, held, c.minShare()*float64(slots))
 }
 
-// FirstTier returns the highest tier of which an item waits, or -1.
-func (q *Queue[T]) FirstTier() int {
+// HighestTier returns the highest tier of which an item waits, or -1.
+func (q *Queue[T]) HighestTier() int {
 	for _, c := range q.classes {
 		if c.len() > 0 {
 			return c.Tier
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -17,8 +17,8 @@
 
 func newItem(value, workspace string, latest time.Duration) *Item[string] {
 	return &Item[string]{
-		Workspace: workspace, Arrived: start, Latest: start.Add(latest),
-		Useless: start.Add(latest + time.Minute), Cost: 10, Value: value,
+		Workspace: workspace, Arrived: start, LatestStart: start.Add(latest),
+		ExpiresAt: start.Add(latest + time.Minute), Cost: 10, Value: value,
 	}
 }
 
@@ -153,7 +153,7 @@
 
 func TestEarliestIsThatOfTheMostUrgent(t *testing.T) {
 	q := newTestQueue()
-	if got := q.Earliest("high"); !got.IsZero() {
+	if got := q.MinLatestStart("high"); !got.IsZero() {
 		t.Errorf("of an empty class: %v, want none", got)
 	}
 	q.Push(start, "high", newItem("a", "w", time.Minute))
@@ -162,8 +162,8 @@
 	q.Push(start, "high", urgent)
 	for _, now := range []time.Time{start, start.Add(3 * time.Second)} {
 		q.first(now)
-		if got := q.Earliest("high"); !got.Equal(urgent.Latest) {
-			t.Errorf("at %v: %v, want %v", now.Sub(start), got, urgent.Latest)
+		if got := q.MinLatestStart("high"); !got.Equal(urgent.LatestStart) {
+			t.Errorf("at %v: %v, want %v", now.Sub(start), got, urgent.LatestStart)
 		}
 	}
 }
