--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,6 +1,5 @@
-// Package admission refuses at arrival what is not expected to be of use even
-// if it ran at once, before it costs anything.
+// Package admission rejects requests on arrival that are not expected to be useful even if
+// they started immediately, before they use any resources.
 //
-// It is pure and holds soft state, one counter for each class of a pool; losing
-// it costs nothing. A platform outage does not touch it.
+// It does no I/O; its state is one counter per class and pool and can be lost.
 package admission
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// probeEvery is how many of the requests expected to be of no use go through:
-// one in so many. Were the estimate wrong, their answers correct it.
-const probeEvery = 10
+// One in probeInterval infeasible requests is admitted as a probe, so that its answer can
+// correct a wrong estimate.
+const probeInterval = 10
 
-// Gate decides on the arrivals of one class at one pool.
+// Gate admits or rejects the requests of one class at one pool.
 type Gate struct {
-	hopeless uint64
+	infeasible uint64
 }
 
-// Admit says whether a request is let in whose answer is expected to take
-// service and is of use for use from now on.
-func (g *Gate) Admit(service, use time.Duration) bool {
-	if use <= 0 {
+// Admit reports whether to admit a request with the expected serviceTime whose answer is
+// useful for the remaining time.
+func (g *Gate) Admit(serviceTime, remaining time.Duration) bool {
+	if remaining <= 0 {
 		return false
 	}
-	if service <= use {
+	if serviceTime <= remaining {
 		return true
 	}
-	g.hopeless++
-	return g.hopeless%probeEvery == 0
+	g.infeasible++
+	return g.infeasible%probeInterval == 0
 }
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestGateLetsProbesThroughAlone(t *testing.T) {
+func TestGateAdmitsOnlyProbesOfInfeasibleRequests(t *testing.T) {
 	var g Gate
 	admitted := 0
 	for range 100 {
@@ -13,15 +13,15 @@
 			admitted++
 		}
 	}
-	if admitted != 100/probeEvery {
-		t.Errorf("admitted %d of 100 hopeless requests, want %d", admitted, 100/probeEvery)
+	if admitted != 100/probeInterval {
+		t.Errorf("admitted %d of 100 infeasible requests, want %d", admitted, 100/probeInterval)
 	}
 	if !g.Admit(time.Second, time.Second) {
-		t.Error("refused a request that fits")
+		t.Error("rejected a feasible request")
 	}
 	for range 100 {
 		if g.Admit(0, 0) {
-			t.Fatal("admitted a request whose time is up")
+			t.Fatal("admitted an expired request")
 		}
 	}
 }
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -9,7 +9,7 @@
 var start = time.Date(2026, 3, 6, 20, 0, 0, 0, time.UTC)
 
 func TestExpectedFinish(t *testing.T) {
-	need := RequestEstimate{Prefill: time.Second, Decode: 5 * time.Second}
+	estimate := RequestEstimate{Prefill: time.Second, Decode: 5 * time.Second}
 	usual := Candidate{Running: 2, Limit: 8, Slowness: 1, SameZone: true, ReportAge: -1}
 	with := func(change func(*Candidate)) Candidate {
 		c := usual
@@ -19,11 +19,11 @@
 	tests := map[string]struct {
 		worse, better Candidate
 	}{
-		"less busy":      {with(func(c *Candidate) { c.Running = 6 }), usual},
-		"faster":         {with(func(c *Candidate) { c.Slowness = 1.5 }), usual},
-		"cached":         {usual, with(func(c *Candidate) { c.CachedFraction = 0.5 })},
-		"same zone":      {with(func(c *Candidate) { c.SameZone = false }), usual},
-		"reported idler": {with(func(c *Candidate) { c.ReportAge, c.ReportedRunning = 0, 60 }), with(func(c *Candidate) { c.ReportAge, c.ReportedRunning = 0, 4 })},
+		"less busy":           {with(func(c *Candidate) { c.Running = 6 }), usual},
+		"faster":              {with(func(c *Candidate) { c.Slowness = 1.5 }), usual},
+		"cached":              {usual, with(func(c *Candidate) { c.CachedFraction = 0.5 })},
+		"same zone":           {with(func(c *Candidate) { c.SameZone = false }), usual},
+		"lower reported load": {with(func(c *Candidate) { c.ReportAge, c.ReportedRunning = 0, 60 }), with(func(c *Candidate) { c.ReportAge, c.ReportedRunning = 0, 4 })},
 		"fast over cached": {
 			with(func(c *Candidate) { c.Slowness, c.CachedFraction = 2, 0.9 }), usual,
 		},
@@ -31,17 +31,17 @@
 	policy := ExpectedFinish{Rand: rand.New(rand.NewPCG(1, 1))}
 	for name, test := range tests {
 		for range 10 {
-			if got := policy.Choose(need, []Candidate{test.worse, test.better}); got != 1 {
+			if got := policy.Choose(estimate, []Candidate{test.worse, test.better}); got != 1 {
 				t.Errorf("%s: chose %d, want 1", name, got)
 			}
-			if got := policy.Choose(need, []Candidate{test.better, test.worse}); got != 0 {
+			if got := policy.Choose(estimate, []Candidate{test.better, test.worse}); got != 0 {
 				t.Errorf("%s: chose %d, want 0", name, got)
 			}
 		}
 	}
 }
 
-func TestPaceNoticesSlownessAndSilenceAndForgets(t *testing.T) {
+func TestTokenLatencySlowness(t *testing.T) {
 	var p TokenLatency
 	for range 100 {
 		p.Observe(start, 0.250)
@@ -49,7 +49,7 @@
 	if got := p.Slowness(start, 0.025, 1, 0); got < 9 {
 		t.Errorf("slowness = %.1f, want about 10", got)
 	}
-	if got := p.Slowness(start.Add(10*forgetHalfLife), 0.025, 0, 0); got >= SuspectThreshold {
+	if got := p.Slowness(start.Add(10*slownessHalfLife), 0.025, 0, 0); got >= SuspectThreshold {
 		t.Errorf("slowness = %.1f long after, want below %.1f", got, SuspectThreshold)
 	}
 	var quick TokenLatency
@@ -62,10 +62,10 @@
 	var silent TokenLatency
 	silent.RecordProgress(start)
 	if got := silent.Slowness(start.Add(5*time.Second), 0.025, 1, time.Second); got < SuspectThreshold {
-		t.Errorf("slowness = %.1f in silence, want at least %.1f", got, SuspectThreshold)
+		t.Errorf("slowness = %.1f of a stalled replica, want at least %.1f", got, SuspectThreshold)
 	}
 	if got := silent.Slowness(start.Add(5*time.Second), 0.025, 0, time.Second); got >= SuspectThreshold {
-		t.Errorf("slowness = %.1f of an idle replica, want the usual", got)
+		t.Errorf("slowness = %.1f of an idle replica, want less than the suspect threshold", got)
 	}
 }
 
@@ -73,8 +73,8 @@
 	var p PrefixHistory
 	for hash := range uint64(10 * maxPrefixes) {
 		p.Add([]uint64{hash})
-		if len(p.last) > maxPrefixes {
-			t.Fatalf("%d prefixes, want at most %d", len(p.last), maxPrefixes)
+		if len(p.lastUse) > maxPrefixes {
+			t.Fatalf("%d prefixes, want at most %d", len(p.lastUse), maxPrefixes)
 		}
 	}
 	last := uint64(10*maxPrefixes - 1)
--- a/internal/balancer/candidate.go
+++ b/internal/balancer/candidate.go
@@ -2,34 +2,32 @@
 
 import "time"
 
-// Candidate is what is known of a replica with a free slot.
+// Candidate is the known state of a replica with a free slot.
 type Candidate struct {
-	// Running counts this node's requests at the replica, Limit its limit.
+	// Running is the number of this node's requests at the replica.
 	Running int
 	Limit   int
-	// Slowness is the replica's time between tokens as a multiple of the
-	// usual one; 1 is usual.
+	// Slowness is the replica's time between tokens relative to the typical one; 1 is typical.
 	Slowness float64
-	// CachedFraction is the part of the prompt's prefill that the cache saves.
+	// CachedFraction is the fraction of the prompt's prefill saved by the replica's cache.
 	CachedFraction float64
-	// SameZone says that the replica is in this node's availability zone.
+	// SameZone reports that the replica is in this node's availability zone.
 	SameZone bool
-	// ReportedRunning counts all nodes' requests there as last reported,
-	// ReportAge how long ago; a negative age means that none was reported.
+	// ReportedRunning is the last reported number of all nodes' requests, ReportAge the age of
+	// the report; negative without a report.
 	ReportedRunning int
 	ReportAge       time.Duration
 }
 
-// RequestEstimate is what is expected of the request.
+// RequestEstimate is the expected duration of a request.
 type RequestEstimate struct {
-	// Prefill is the time to read the whole prompt, Answer the time to
-	// generate the answer, both at a usual replica.
+	// Prefill and Decode are the times at a typical replica, without cache hits.
 	Prefill time.Duration
 	Decode  time.Duration
 }
 
 // Policy chooses a replica.
 type Policy interface {
-	// Choose returns the index of one of at least one candidates.
-	Choose(need RequestEstimate, candidates []Candidate) int
+	// Choose returns the index of one of candidates, which must not be empty.
+	Choose(estimate RequestEstimate, candidates []Candidate) int
 }
--- a/internal/balancer/prefixes.go
+++ b/internal/balancer/prefixes.go
@@ -2,57 +2,55 @@
 
 import "slices"
 
-// maxPrefixes bounds the prefixes remembered for one replica.
 const maxPrefixes = 512
 
-// PrefixHistory remembers which prompts a replica was given last. It is a hint: the
-// replica's own cache may have dropped them.
+// PrefixHistory records the prefixes of the prompts last sent to a replica. It is a hint: the
+// replica may have evicted them from its cache.
 type PrefixHistory struct {
-	// last holds the number of the last use of each.
-	last  map[uint64]uint64
-	clock uint64
+	// lastUse maps a prefix hash to the sequence number of its last use.
+	lastUse map[uint64]uint64
+	uses    uint64
 }
 
-// Add notes that the replica was given a prompt with these prefixes.
+// Add records that a prompt with these prefixes was sent to the replica.
 func (p *PrefixHistory) Add(hashes []uint64) {
-	if p.last == nil {
-		p.last = make(map[uint64]uint64)
+	if p.lastUse == nil {
+		p.lastUse = make(map[uint64]uint64)
 	}
 	for _, hash := range hashes {
-		p.clock++
-		p.last[hash] = p.clock
+		p.uses++
+		p.lastUse[hash] = p.uses
 	}
-	if len(p.last) > maxPrefixes {
-		p.dropOldHalf()
+	if len(p.lastUse) > maxPrefixes {
+		p.evictOlderHalf()
 	}
 }
 
-func (p *PrefixHistory) dropOldHalf() {
-	uses := make([]uint64, 0, len(p.last))
-	for _, use := range p.last {
+func (p *PrefixHistory) evictOlderHalf() {
+	uses := make([]uint64, 0, len(p.lastUse))
+	for _, use := range p.lastUse {
 		uses = append(uses, use)
 	}
 	slices.Sort(uses)
 	middle := uses[len(uses)/2]
-	for hash, use := range p.last {
+	for hash, use := range p.lastUse {
 		if use < middle {
-			delete(p.last, hash)
+			delete(p.lastUse, hash)
 		}
 	}
 }
 
-// Drop forgets the prefixes, after a prefill that took as long as without them.
+// Drop removes the prefixes, after a prefill that showed no cache hit.
 func (p *PrefixHistory) Drop(hashes []uint64) {
 	for _, hash := range hashes {
-		delete(p.last, hash)
+		delete(p.lastUse, hash)
 	}
 }
 
-// Match returns the part of the prefixes, from 0 to 1, that the replica was
-// given; the longest known one counts.
+// Match returns the fraction of the prefixes, from 0 to 1, up to the longest one recorded.
 func (p *PrefixHistory) Match(hashes []uint64) float64 {
 	for i := len(hashes) - 1; i >= 0; i-- {
-		if _, ok := p.last[hashes[i]]; ok {
+		if _, ok := p.lastUse[hashes[i]]; ok {
 			return float64(i+1) / float64(len(hashes))
 		}
 	}
--- a/internal/balancer/two_choices.go
+++ b/internal/balancer/two_choices.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// TwoChoices takes the less busy of two random replicas, by this node's own
-// requests in flight. It is the baseline.
+// TwoChoices chooses the less loaded of two random replicas, by this node's requests in
+// flight. It is the baseline.
 type TwoChoices struct {
 	Rand *rand.Rand
 }
--- a/internal/circuit/breaker.go
+++ b/internal/circuit/breaker.go
@@ -5,25 +5,24 @@
 	"time"
 )
 
-// The wait after a failure doubles with each further one in a row.
+// The backoff doubles with each consecutive failure.
 const (
-	firstWait = 100 * time.Millisecond
-	maxWait   = 5 * time.Second
-	// jitter is the part of the wait that is random, so that nodes do not
-	// probe a replica that comes back all at the same moment.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 5 * time.Second
+	// jitter is the random part; it keeps nodes from probing at the same time.
 	jitter = 0.5
 )
 
-// Breaker is one replica's circuit as one node sees it: closed while attempts
-// succeed, open for a while after a failure, then half-open for one probe at a
-// time. The zero value is closed.
+// Breaker is one node's circuit breaker for one replica: closed while attempts succeed, open
+// for a backoff after a failure, then half-open for one probe at a time. The zero value is
+// closed.
 type Breaker struct {
 	failures  int
 	openUntil time.Time
 	probing   bool
 }
 
-// Allows says whether the replica may get a request now.
+// Allows reports whether the replica may get a request now.
 func (b *Breaker) Allows(now time.Time) bool {
 	if b.failures == 0 {
 		return true
@@ -31,8 +30,8 @@
 	return !now.Before(b.openUntil) && !b.probing
 }
 
-// RecordDispatch tells that a request was given to the replica; while the circuit is
-// half-open it is the probe.
+// RecordDispatch records that a request was bound to the replica. In a half-open circuit the
+// request is the probe.
 func (b *Breaker) RecordDispatch() {
 	b.probing = b.failures > 0
 }
@@ -42,28 +41,27 @@
 	*b = Breaker{}
 }
 
-// RecordFailure opens the circuit for a growing time.
+// RecordFailure opens the circuit for an exponential backoff.
 func (b *Breaker) RecordFailure(now time.Time, random *rand.Rand) {
 	b.probing = false
 	if b.failures > 0 && now.Before(b.openUntil) {
-		// Requests that were bound before the circuit opened fail together:
-		// that is one failure, not many.
+		// Requests bound before the circuit opened count as one failure.
 		return
 	}
 	b.failures++
-	wait := min(firstWait<<min(b.failures-1, 10), maxWait)
-	wait -= time.Duration(jitter * random.Float64() * float64(wait))
-	b.openUntil = now.Add(wait)
+	backoff := min(initialBackoff<<min(b.failures-1, 10), maxBackoff)
+	backoff -= time.Duration(jitter * random.Float64() * float64(backoff))
+	b.openUntil = now.Add(backoff)
 }
 
-// RecordInconclusive tells that a request ended without saying anything of the replica,
-// such as one its caller gave up; a probe is then due again.
+// RecordInconclusive records a request that ended without evidence about the replica, such as
+// one canceled by its caller; another probe is allowed.
 func (b *Breaker) RecordInconclusive() {
 	b.probing = false
 }
 
-// NextProbeAt returns when an open circuit next lets a probe through; zero while
-// it is closed or a probe is under way.
+// NextProbeAt returns when an open circuit allows the next probe, or the zero time if it is
+// closed or a probe is in flight.
 func (b *Breaker) NextProbeAt() time.Time {
 	if b.failures == 0 || b.probing {
 		return time.Time{}
--- a/internal/circuit/breaker_test.go
+++ b/internal/circuit/breaker_test.go
@@ -19,7 +19,7 @@
 	}
 	now = b.NextProbeAt()
 	if !b.Allows(now) {
-		t.Fatal("no probe after the wait")
+		t.Fatal("no probe after the backoff")
 	}
 	b.RecordDispatch()
 	if b.Allows(now) {
@@ -27,39 +27,39 @@
 	}
 	b.RecordSuccess()
 	if !b.Allows(now) {
-		t.Fatal("a good probe does not close the circuit")
+		t.Fatal("a successful probe does not close the circuit")
 	}
 }
 
-func TestBreakerWaitGrowsToItsBound(t *testing.T) {
+func TestBreakerBackoffGrowsToMaximum(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	now := time.Unix(0, 0)
 	var b Breaker
 	for i := range 40 {
 		b.RecordFailure(now, random)
 		wait := b.NextProbeAt().Sub(now)
-		most := min(firstWait<<min(i, 10), maxWait)
+		most := min(initialBackoff<<min(i, 10), maxBackoff)
 		if wait > most || wait < most/2 {
-			t.Fatalf("wait %d is %s, want between %s and %s", i, wait, most/2, most)
+			t.Fatalf("backoff %d is %s, want between %s and %s", i, wait, most/2, most)
 		}
 		now = b.NextProbeAt()
 		b.RecordDispatch()
 	}
 }
 
-func TestFailuresTogetherCountOnce(t *testing.T) {
+func TestFailuresWhileOpenCountOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	now := time.Unix(0, 0)
 	var b Breaker
 	for range 20 {
 		b.RecordFailure(now, random)
 	}
-	if wait := b.NextProbeAt().Sub(now); wait > firstWait {
-		t.Errorf("twenty requests that failed together open the circuit for %s, want at most %s", wait, firstWait)
+	if wait := b.NextProbeAt().Sub(now); wait > initialBackoff {
+		t.Errorf("twenty requests that failed together open the circuit for %s, want at most %s", wait, initialBackoff)
 	}
 }
 
-func TestGivenUpProbeIsDueAgain(t *testing.T) {
+func TestInconclusiveProbeIsRepeated(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	now := time.Unix(0, 0)
 	var b Breaker
@@ -68,6 +68,6 @@
 	b.RecordDispatch()
 	b.RecordInconclusive()
 	if !b.Allows(now) {
-		t.Error("no probe after one that its caller gave up")
+		t.Error("no new probe after an inconclusive one")
 	}
 }
--- a/internal/concurrency/doc.go
+++ b/internal/concurrency/doc.go
@@ -1,9 +1,6 @@
-// Package concurrency learns how many requests a node should run at a replica,
-// from the time between tokens: while that stays near what an idle replica
-// takes, the limit grows; once it rises, the replica is past its knee and the
-// limit shrinks.
+// Package concurrency adapts how many requests a node runs at a replica. The limit grows while
+// the time between tokens is close to that of an idle replica, and shrinks when it rises.
 //
-// It is pure and holds soft state, a few numbers for each replica; losing it
-// means to start again from the configured slots. A platform outage does not
-// touch it.
+// It does no I/O and keeps a few numbers per replica in memory; if they are lost, the limit
+// restarts at the configured slots.
 package concurrency
--- a/internal/concurrency/floor.go
+++ b/internal/concurrency/floor.go
@@ -2,30 +2,29 @@
 
 import "time"
 
-// generation is how long a least value counts as the present one; it counts
-// for as long again as the one before.
-const generation = 5 * time.Minute
+// The floor is the minimum of the current and the previous floorPeriod.
+const floorPeriod = 5 * time.Minute
 
-// LatencyFloor keeps the least average time between tokens of the last minutes: what
-// the replica takes when it is almost idle.
+// LatencyFloor is the recent minimum of the average time between tokens, which approximates
+// that of an idle replica.
 type LatencyFloor struct {
-	current  float64
-	previous float64
-	began    time.Time
+	current   float64
+	previous  float64
+	startedAt time.Time
 }
 
-// Observe takes in a window's average in seconds.
+// Observe records the average of a window, in seconds.
 func (f *LatencyFloor) Observe(now time.Time, average float64) {
-	if now.Sub(f.began) >= generation {
+	if now.Sub(f.startedAt) >= floorPeriod {
 		f.previous = f.current
 		f.current = average
-		f.began = now
+		f.startedAt = now
 		return
 	}
 	f.current = min(f.current, average)
 }
 
-// Value returns the least average in seconds, zero while there is none.
+// Value returns the minimum in seconds, or zero without samples.
 func (f *LatencyFloor) Value() float64 {
 	if f.previous > 0 {
 		return min(f.previous, f.current)
--- a/internal/concurrency/limit.go
+++ b/internal/concurrency/limit.go
@@ -3,116 +3,108 @@
 import "time"
 
 const (
-	// window is how long token times are averaged before the limit moves.
-	window = time.Second
-	// minSamples is the fewest token times that make an average.
-	minSamples = 8
-	// tolerance is how far above the reference the time between tokens may
-	// be before the limit shrinks.
+	// sampleWindow is the minimum time between two adjustments.
+	sampleWindow = time.Second
+	minSamples   = 8
+	// tolerance is the ratio of average to reference above which the limit shrinks.
 	tolerance = 1.2
-	// steepest is the least factor of one step.
-	steepest = 0.8
-	// quickEnough is an average, in seconds, that never shrinks a limit: at
-	// such a pace the caller gains nothing, and the node's own delays tell
-	// more than the replica's load.
-	quickEnough = 0.010
-	// growth is the slots by which a used-up limit grows in a window. It is
-	// the same for all, while shrinking is by a factor: so the limits of
-	// several nodes at one replica draw near each other.
-	growth = 0.1
-	// urgentGrowth takes its place where requests of the highest tier wait,
-	// so that nodes with more of them get more of the replica.
-	urgentGrowth = 0.3
-	// regrowth is the factor of a window while a limit that was shrunk at
-	// once comes back.
-	regrowth = 1.2
+	// minGradient is the smallest factor of one adjustment.
+	minGradient = 0.8
+	// Up to minShrinkLatency seconds per token the limit never shrinks: the node's own delays
+	// dominate the samples.
+	minShrinkLatency = 0.010
+	// growthStep is in slots per window. Additive increase and multiplicative decrease make
+	// the limits of several nodes at one replica converge.
+	growthStep = 0.1
+	// urgentGrowthStep applies while requests of the highest tier wait, so that nodes with
+	// more of them get more of the replica.
+	urgentGrowthStep = 0.3
+	// recoveryFactor is the growth factor per window while the limit recovers from
+	// ShrinkToOne.
+	recoveryFactor = 1.2
 )
 
-// Limit is the learned limit of one replica.
+// Limit is the adaptive concurrency limit of one replica.
 type Limit struct {
-	limit  float64
-	most   float64
-	offset float64
-	// before is the limit before it was shrunk at once, else zero.
-	before  float64
-	started time.Time
-	sum     float64
-	samples int
-	// used says that the limit was reached within the window.
-	used bool
-	// urgent says that requests of the highest tier waited in it.
-	urgent bool
+	limit    float64
+	maxLimit float64
+	offset   float64
+	// recoverTo is the limit before ShrinkToOne, or zero.
+	recoverTo   float64
+	windowStart time.Time
+	sum         float64
+	samples     int
+	// saturated is set if the limit was reached in the window.
+	saturated bool
+	urgent    bool
 }
 
-// NewLimit returns a limit that starts at slots, which is also the most that it
-// grows to. The limit is a fraction: offset, from 0 up to but without 1, is
-// added before it is rounded down, so that limits with different offsets sum up
-// to about the sum of the fractions.
+// NewLimit returns a limit that starts at slots, its maximum. offset, in [0, 1), is added
+// before the fractional limit is rounded down, so that limits with different offsets add up to
+// about the sum of the fractions.
 func NewLimit(slots int, offset float64) *Limit {
-	return &Limit{limit: float64(slots), most: float64(slots), offset: offset}
+	return &Limit{limit: float64(slots), maxLimit: float64(slots), offset: offset}
 }
 
 // Value returns the limit; it is at least 1.
 func (l *Limit) Value() int { return int(l.limit + l.offset) }
 
-// RecordUsage notes how many requests run, to tell whether the limit is used up, and
-// whether requests of the highest tier wait.
+// RecordUsage records how many requests are running and whether requests of the highest tier
+// are waiting.
 func (l *Limit) RecordUsage(running int, urgent bool) {
 	if running >= l.Value() {
-		l.used = true
+		l.saturated = true
 	}
 	l.urgent = l.urgent || urgent
 }
 
-// Observe takes in a time between tokens, in seconds, and the reference: what
-// an idle replica of this upstream takes. It returns the window's average when
-// one ends, else zero.
+// Observe records a time between tokens, in seconds; reference is that of an idle replica of
+// this upstream. It returns the average when a window ends, otherwise zero.
 func (l *Limit) Observe(now time.Time, seconds, reference float64) float64 {
-	if l.started.IsZero() {
-		l.started = now
+	if l.windowStart.IsZero() {
+		l.windowStart = now
 	}
 	l.sum += seconds
 	l.samples++
-	if now.Sub(l.started) < window || l.samples < minSamples {
+	if now.Sub(l.windowStart) < sampleWindow || l.samples < minSamples {
 		return 0
 	}
 	average := l.sum / float64(l.samples)
-	l.step(average, reference)
-	l.started, l.sum, l.samples, l.used, l.urgent = now, 0, 0, false, false
+	l.adjust(average, reference)
+	l.windowStart, l.sum, l.samples, l.saturated, l.urgent = now, 0, 0, false, false
 	return average
 }
 
-func (l *Limit) step(average, reference float64) {
+func (l *Limit) adjust(average, reference float64) {
 	if reference <= 0 {
 		return
 	}
 	gradient := 1.0
-	if average > quickEnough {
-		gradient = min(max(tolerance*reference/average, steepest), 1)
+	if average > minShrinkLatency {
+		gradient = min(max(tolerance*reference/average, minGradient), 1)
 	}
 	next := l.limit * gradient
 	if gradient < 1 {
-		l.before = 0
+		l.recoverTo = 0
 	}
-	if l.used {
-		next += l.grow()
+	if l.saturated {
+		next += l.increase()
 	}
-	l.limit = min(max(next, 1), l.most)
+	l.limit = min(max(next, 1), l.maxLimit)
 }
 
-func (l *Limit) grow() float64 {
-	if l.limit < l.before {
-		return (regrowth - 1) * l.limit
+func (l *Limit) increase() float64 {
+	if l.limit < l.recoverTo {
+		return (recoveryFactor - 1) * l.limit
 	}
 	if l.urgent {
-		return urgentGrowth
+		return urgentGrowthStep
 	}
-	return growth
+	return growthStep
 }
 
-// ShrinkToOne sets the limit to 1 at once, for a straggler. Once the replica is fast
-// again the limit comes back quickly.
+// ShrinkToOne sets the limit of a slow replica to 1, from which it recovers quickly.
 func (l *Limit) ShrinkToOne() {
-	l.before = max(l.before, l.limit)
+	l.recoverTo = max(l.recoverTo, l.limit)
 	l.limit = 1
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -11,10 +11,9 @@
 	"galenatrestle/internal/router"
 )
 
-// defaultSlots is a replica's concurrency limit where the configuration is silent.
 const defaultSlots = 8
 
-// Dispatcher binds requests to replicas.
+// Dispatcher assigns requests to replicas.
 type Dispatcher struct {
 	availabilityZone string
 	seed             uint64
@@ -23,8 +22,7 @@
 	shards map[string]*shard
 }
 
-// New returns a dispatcher without upstreams. The seed feeds the random
-// sources of the decisions.
+// New returns a dispatcher without upstreams. The seed is for its random sources.
 func New(availabilityZone string, seed uint64) *Dispatcher {
 	return &Dispatcher{
 		availabilityZone: availabilityZone,
@@ -33,21 +31,20 @@
 	}
 }
 
-// Configure puts a configuration into force: new upstreams get a pool, known
-// ones their new replicas and classes. A removed upstream keeps its pool until
-// its requests are done, but gets no replica any more.
+// Configure applies a configuration. The pool of a removed upstream is kept for its running
+// requests, but without replicas.
 func (d *Dispatcher) Configure(document *config.Document) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	named := make(map[string]bool, len(document.Upstreams))
+	configured := make(map[string]bool, len(document.Upstreams))
 	weights := weightsOf(document)
 	for i := range document.Upstreams {
 		upstream := &document.Upstreams[i]
-		named[upstream.Name] = true
+		configured[upstream.Name] = true
 		d.configureUpstream(document, upstream, weights)
 	}
 	for name, s := range d.shards {
-		if !named[name] {
+		if !configured[name] {
 			s.update(func(now time.Time) { s.pool.SetReplicas(now, nil) })
 		}
 	}
@@ -92,8 +89,7 @@
 	return replicas
 }
 
-// weightsOf returns the workspaces' weights other than 1, which is what the
-// pools take where one is missing. All pools share the map.
+// weightsOf returns the workspaces' weights other than 1, the pools' default.
 func weightsOf(document *config.Document) map[string]float64 {
 	weights := make(map[string]float64)
 	for i := range document.Workspaces {
@@ -110,27 +106,27 @@
 func (d *Dispatcher) Acquire(ctx context.Context, upstream string, request router.Request) (*Slot, error) {
 	s := d.shard(upstream)
 	if s == nil {
-		return nil, refusal.New(refusal.UnknownUpstream, "dispatch", "no such upstream: "+upstream)
+		return nil, refusal.New(refusal.UnknownUpstream, "dispatch", "unknown upstream: "+upstream)
 	}
 	return s.acquire(ctx, request)
 }
 
-// SetLeaving tells that a replica is leaving, or is no longer.
+// SetLeaving sets whether a replica is leaving.
 func (d *Dispatcher) SetLeaving(upstream, replica string, leaving bool) {
 	if s := d.shard(upstream); s != nil {
 		s.update(func(now time.Time) { s.pool.SetLeaving(now, replica, leaving) })
 	}
 }
 
-// RecordLoad gives a replica's load report to the decisions.
+// RecordLoad records a replica's load report.
 func (d *Dispatcher) RecordLoad(upstream, replica string, load router.LoadReport) {
 	if s := d.shard(upstream); s != nil {
 		s.update(func(now time.Time) { s.pool.RecordLoad(now, replica, load) })
 	}
 }
 
-// SetAllowance bounds how many slots of a replica this node may use; -1 leaves
-// the replica's own limit alone.
+// SetAllowance bounds how many slots of a replica this node may use; -1 means no bound below
+// the replica's limit.
 func (d *Dispatcher) SetAllowance(upstream, replica string, slots int) {
 	if s := d.shard(upstream); s != nil {
 		s.update(func(time.Time) { s.pool.SetAllowance(replica, slots) })
@@ -143,7 +139,7 @@
 	defer d.mu.RUnlock()
 	stats := make(map[string]router.Stats, len(d.shards))
 	for name, s := range d.shards {
-		s.observe(func(now time.Time) { stats[name] = s.pool.Stats(now) })
+		s.withPool(func(now time.Time) { stats[name] = s.pool.Stats(now) })
 	}
 	return stats
 }
@@ -153,7 +149,7 @@
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for _, s := range d.shards {
-		s.observe(func(time.Time) { s.timer.Stop() })
+		s.withPool(func(time.Time) { s.timer.Stop() })
 	}
 }
 
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,8 +1,6 @@
-// Package dispatch drives the pure decisions of package router: it keeps one
-// pool a upstream, each under a lock of its own, gives it the time, and wakes
-// the requests that the pool has bound or refused.
+// Package dispatch runs the scheduling decisions of package router. It has one pool per
+// upstream, each with its own lock, and wakes the requests that a pool has bound to a replica
+// or refused.
 //
-// It holds soft state: the requests that wait at or run through this node. It
-// is bounded by the classes' queue bounds, and a platform outage does not
-// touch it.
+// Its state is the requests waiting or running at this node, in memory.
 package dispatch
--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -5,8 +5,8 @@
 	"galenatrestle/internal/router"
 )
 
-// grant is what a waiting request is woken with.
-type grant struct {
+// outcome is the pool's decision on a waiting request.
+type outcome struct {
 	replica router.Replica
 	choice  router.Choice
 	refused *refusal.Error
--- a/internal/dispatch/shard.go
+++ b/internal/dispatch/shard.go
@@ -10,28 +10,28 @@
 	"galenatrestle/internal/router"
 )
 
-// shard is one upstream's pool and the requests that wait for it.
+// shard is one upstream's pool and its waiting requests.
 type shard struct {
 	mu      sync.Mutex
 	pool    *router.Pool
-	waiting map[string]chan grant
+	waiters map[string]chan outcome
 	timer   *time.Timer
 }
 
 func newShard(pool *router.Pool) *shard {
-	s := &shard{pool: pool, waiting: make(map[string]chan grant)}
+	s := &shard{pool: pool, waiters: make(map[string]chan outcome)}
 	s.timer = time.AfterFunc(time.Hour, func() { s.update(func(time.Time) {}) })
 	return s
 }
 
-// observe changes the pool without looking for new decisions.
-func (s *shard) observe(change func(now time.Time)) {
+// withPool runs change under the lock, without making new decisions.
+func (s *shard) withPool(change func(now time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(time.Now())
 }
 
-// update changes the pool and carries out the decisions that follow.
+// update runs change under the lock and delivers the decisions that follow.
 func (s *shard) update(change func(now time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,21 +40,21 @@
 	s.deliver(now)
 }
 
-// deliver wakes every request the pool has decided on. The lock is held.
+// deliver wakes the requests that the pool has decided on. s.mu must be held.
 func (s *shard) deliver(now time.Time) {
-	for _, event := range s.pool.Decide(now) {
-		wake, ok := s.waiting[event.ID]
+	for _, decision := range s.pool.Decide(now) {
+		wake, ok := s.waiters[decision.ID]
 		if !ok {
 			continue
 		}
-		delete(s.waiting, event.ID)
-		wake <- grantOf(event)
+		delete(s.waiters, decision.ID)
+		wake <- outcomeOf(decision)
 	}
-	s.arm(now)
+	s.resetTimer(now)
 }
 
-// arm sets the timer to the pool's next deadline. The lock is held.
-func (s *shard) arm(now time.Time) {
+// resetTimer sets the timer to the pool's next deadline. s.mu must be held.
+func (s *shard) resetTimer(now time.Time) {
 	deadline := s.pool.Deadline(now)
 	if deadline.IsZero() {
 		s.timer.Stop()
@@ -63,68 +63,65 @@
 	s.timer.Reset(max(deadline.Sub(now), 0))
 }
 
-func grantOf(event router.Decision) grant {
-	if event.Refused != nil {
-		return grant{refused: event.Refused}
+func outcomeOf(decision router.Decision) outcome {
+	if decision.Refused != nil {
+		return outcome{refused: decision.Refused}
 	}
-	return grant{replica: *event.Replica, choice: event.Choice}
+	return outcome{replica: *decision.Replica, choice: decision.Choice}
 }
 
-// submit hands the request to the pool; the channel gets the one decision.
-func (s *shard) submit(request router.Request) (<-chan grant, *refusal.Error) {
-	wake := make(chan grant, 1)
+// submit adds the request to the pool. The channel receives its outcome.
+func (s *shard) submit(request router.Request) (<-chan outcome, *refusal.Error) {
+	wake := make(chan outcome, 1)
 	var refused *refusal.Error
 	s.update(func(now time.Time) {
 		refused = s.pool.Submit(now, request)
 		if refused == nil {
-			s.waiting[request.ID] = wake
+			s.waiters[request.ID] = wake
 		}
 	})
 	return wake, refused
 }
 
-// acquire waits until the request is bound, refused, or its caller is gone.
 func (s *shard) acquire(ctx context.Context, request router.Request) (*Slot, error) {
 	wake, refused := s.submit(request)
 	if refused != nil {
 		return nil, refused
 	}
 	select {
-	case g := <-wake:
-		return s.slotOf(request.ID, g)
+	case o := <-wake:
+		return s.newSlot(request.ID, o)
 	case <-ctx.Done():
-		return nil, s.abandon(ctx, request.ID, wake)
+		return nil, s.cancel(ctx, request.ID, wake)
 	}
 }
 
-func (s *shard) slotOf(id string, g grant) (*Slot, error) {
-	if g.refused != nil {
-		return nil, g.refused
+func (s *shard) newSlot(id string, o outcome) (*Slot, error) {
+	if o.refused != nil {
+		return nil, o.refused
 	}
-	return &Slot{Replica: g.replica, Choice: g.choice, id: id, shard: s}, nil
+	return &Slot{Replica: o.replica, Choice: o.choice, id: id, shard: s}, nil
 }
 
-// abandon takes a request back whose caller is gone. A decision that came at
-// the same moment is undone.
-func (s *shard) abandon(ctx context.Context, id string, wake <-chan grant) error {
+// cancel withdraws a request, releasing its slot if it was bound in the meantime.
+func (s *shard) cancel(ctx context.Context, id string, wake <-chan outcome) error {
 	s.update(func(now time.Time) {
-		if _, waits := s.waiting[id]; waits {
-			delete(s.waiting, id)
+		if _, waits := s.waiters[id]; waits {
+			delete(s.waiters, id)
 			s.pool.Cancel(now, id)
 			return
 		}
-		if g := <-wake; g.refused == nil {
+		if o := <-wake; o.refused == nil {
 			s.pool.Finish(now, id, router.ResultNotRun)
 		}
 	})
-	return leftWaiting(ctx)
+	return waitRefusal(ctx)
 }
 
-// leftWaiting is the refusal of a request that left the queue by its context.
-func leftWaiting(ctx context.Context) *refusal.Error {
-	refused := refusal.New(refusal.CallerGone, "queue", "the caller left while the request waited")
+func waitRefusal(ctx context.Context) *refusal.Error {
+	refused := refusal.New(refusal.CallerGone, "queue", "the caller disconnected while the request was queued")
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		refused = refusal.New(refusal.GaveUpWaiting, "queue", "no slot came free while the answer was of use")
+		refused = refusal.New(refusal.GaveUpWaiting, "queue", "no slot became free before the request's deadline")
 	}
 	refused.Cause = ctx.Err()
 	return refused
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -7,60 +7,55 @@
 	"galenatrestle/internal/router"
 )
 
-// Slot is the right to run one attempt on one replica. It must be finished
-// exactly once; further calls of Finish do nothing.
+// Slot is the right to run one attempt on one replica until Finish is called. Later calls of
+// Finish do nothing.
 type Slot struct {
-	// Replica is where the attempt runs.
 	Replica router.Replica
-	// Choice is why it runs there.
+	// Choice is why the replica was chosen.
 	Choice router.Choice
 
 	id       string
 	shard    *shard
 	finished sync.Once
-	// untold counts the tokens that the pool does not know of; toldAt is when
-	// it was last told.
-	untold int
-	toldAt time.Time
+	// pendingTokens are not yet recorded in the pool; flushedAt is the last flush.
+	pendingTokens int
+	flushedAt     time.Time
 }
 
-// tokenBatch is the time for which tokens are gathered before the pool is told:
-// a few tokens at a usual pace, and far below the silence that makes a replica
-// suspect.
-const tokenBatch = 100 * time.Millisecond
+// tokenFlushInterval must be far below the stall time that makes a replica suspect.
+const tokenFlushInterval = 100 * time.Millisecond
 
-// RecordFirstToken tells the decisions that the answer has begun.
+// RecordFirstToken records the first token of the answer.
 func (s *Slot) RecordFirstToken() {
 	s.shard.update(func(now time.Time) { s.shard.pool.RecordFirstToken(now, s.id) })
 }
 
-// RecordTokens counts n more tokens. The decisions are told of them in batches, since
-// all requests of the upstream share the pool's lock. It is for one goroutine.
+// RecordTokens records n more tokens, in batches, since all requests of the upstream share the
+// pool's lock. It is not safe for concurrent use.
 func (s *Slot) RecordTokens(n int) {
-	s.untold += n
+	s.pendingTokens += n
 	now := time.Now()
-	if now.Sub(s.toldAt) < tokenBatch {
+	if now.Sub(s.flushedAt) < tokenFlushInterval {
 		return
 	}
-	s.toldAt = now
-	s.shard.observe(s.tellTokens)
+	s.flushedAt = now
+	s.shard.withPool(s.flushTokens)
 }
 
-// tellTokens tells the pool of the tokens it has not been told of. The shard's
-// lock is held.
-func (s *Slot) tellTokens(now time.Time) {
-	if s.untold == 0 {
+// flushTokens updates the pool. The shard's lock must be held.
+func (s *Slot) flushTokens(now time.Time) {
+	if s.pendingTokens == 0 {
 		return
 	}
-	s.shard.pool.RecordTokens(now, s.id, s.untold)
-	s.untold = 0
+	s.shard.pool.RecordTokens(now, s.id, s.pendingTokens)
+	s.pendingTokens = 0
 }
 
-// Finish gives the slot back.
+// Finish releases the slot.
 func (s *Slot) Finish(result router.Result) {
 	s.finished.Do(func() {
 		s.shard.update(func(now time.Time) {
-			s.tellTokens(now)
+			s.flushTokens(now)
 			s.shard.pool.Finish(now, s.id, result)
 		})
 	})
--- a/internal/dispatch/weights_test.go
+++ b/internal/dispatch/weights_test.go
@@ -7,7 +7,7 @@
 	"galenatrestle/internal/config"
 )
 
-func TestWeightsOfHoldsThoseOtherThanOne(t *testing.T) {
+func TestWeightsOfOmitsDefaultWeights(t *testing.T) {
 	document := &config.Document{Workspaces: []config.Workspace{
 		{Name: "usual", Weight: 1}, {Name: "light", Weight: 0.5}, {Name: "heavy", Weight: 3},
 	}}
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -8,27 +8,25 @@
 
 const (
 	budgetShards = 16
-	// maxKeysPerShard bounds the memory; keys past it share one window.
+	// maxKeysPerShard bounds memory; further keys share one window.
 	maxKeysPerShard = 256
-	// floor is how many attempts may be added in a window however few succeed,
-	// so that a small site can repeat what one replica had in its batch.
-	floor = 10
-	// notRunAllowance is how many attempts proved not run may be repeated in
-	// a window before they count against the budget.
+	// minAddedAttempts per window are allowed regardless of successes, so that a low-traffic
+	// site can retry the requests lost with one replica.
+	minAddedAttempts = 10
+	// notRunAllowance is how many attempts known not to have run may be retried per window
+	// without being charged.
 	notRunAllowance = 20
 )
 
-// budgetKey names what a budget is for.
 type budgetKey struct {
 	class    string
 	upstream string
 }
 
-// overflowKey is shared by all keys past the bound.
+// overflowKey is shared by all keys beyond maxKeysPerShard.
 var overflowKey = budgetKey{}
 
-// budget bounds the added attempts of each key to a part of its successes over
-// a sliding window.
+// budget limits a key's added attempts to a fraction of its recent successes.
 type budget struct {
 	seed   maphash.Seed
 	shards [budgetShards]budgetShard
@@ -36,13 +34,13 @@
 
 type budgetShard struct {
 	mu      sync.Mutex
-	windows map[budgetKey]*window
+	windows map[budgetKey]*slidingWindow
 }
 
 func newBudget() *budget {
 	b := &budget{seed: maphash.MakeSeed()}
 	for i := range b.shards {
-		b.shards[i].windows = make(map[budgetKey]*window)
+		b.shards[i].windows = make(map[budgetKey]*slidingWindow)
 	}
 	return b
 }
@@ -51,44 +49,42 @@
 	return &b.shards[maphash.Comparable(b.seed, key)%budgetShards]
 }
 
-// window returns the key's window. The shard must be locked.
-func (s *budgetShard) window(key budgetKey) *window {
+// window returns the key's window. s.mu must be held.
+func (s *budgetShard) window(key budgetKey) *slidingWindow {
 	w, ok := s.windows[key]
 	if !ok && len(s.windows) >= maxKeysPerShard {
 		key = overflowKey
 		w, ok = s.windows[key]
 	}
 	if !ok {
-		w = new(window)
+		w = new(slidingWindow)
 		s.windows[key] = w
 	}
 	return w
 }
 
-func (b *budget) succeeded(now time.Time, key budgetKey) {
+func (b *budget) recordSuccess(now time.Time, key budgetKey) {
 	s := b.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.window(key).at(now).successes++
+	s.window(key).bucketAt(now).successes++
 }
 
-// take counts one added attempt if the budget has room for it.
-func (b *budget) take(now time.Time, key budgetKey, ratio float64, notRun bool) bool {
+func (b *budget) tryTake(now time.Time, key budgetKey, ratio float64, notRun bool) bool {
 	s := b.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := s.window(key)
 	total := w.sum(now)
-	if notRun && total.free < notRunAllowance {
-		w.at(now).free++
+	if notRun && total.uncharged < notRunAllowance {
+		w.bucketAt(now).uncharged++
 		return true
 	}
-	// What the allowance gave is taken off, so that both together stay within
-	// the ratio where there is traffic.
-	share := max(0, ratio*float64(total.successes)-float64(total.free))
-	if float64(total.spent) >= max(floor, share) {
+	// Both kinds of added attempts together stay within ratio under load.
+	allowed := max(0, ratio*float64(total.successes)-float64(total.uncharged))
+	if float64(total.charged) >= max(minAddedAttempts, allowed) {
 		return false
 	}
-	w.at(now).spent++
+	w.bucketAt(now).charged++
 	return true
 }
--- a/internal/retry/doc.go
+++ b/internal/retry/doc.go
@@ -1,10 +1,6 @@
-// Package retry decides what happens after a failed attempt: a new attempt,
-// a continuation from the delivered prefix, or a refusal. It also decides when
-// a second attempt in parallel (a hedge) is worth its cost.
+// Package retry decides what to do after a failed attempt: retry, resume from the delivered
+// prefix, or refuse. It also decides when to start a second attempt in parallel (a hedge).
 //
-// The decisions are pure: they take the time and start nothing. They hold soft
-// state only, in shards under a lock each: ten seconds of counts and two
-// latency sketches for each (class, upstream), at most maxKeysPerShard a
-// shard. Losing it makes retries scarcer for ten seconds. A platform outage
-// changes nothing here.
+// It does no I/O, takes the time as a parameter, and keeps bounded state in memory. Losing it
+// reduces the retry budget for ten seconds.
 package retry
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -3,41 +3,39 @@
 import "time"
 
 const (
-	// hedgeQuantile of the observed first token times must have passed before
-	// a hedge, so that about one request in twenty asks for one.
+	// hedgeQuantile of the first-token times is the delay before a hedge.
 	hedgeQuantile = 0.95
-	// patienceFactor times the same quantile, and leastPatience at the least,
-	// is when an attempt without a token is held to hang.
-	patienceFactor = 10
-	leastPatience  = 2 * time.Second
-	// hedgeTier is the only tier that may hedge.
+	// firstTokenTimeoutFactor times that quantile is the first-token timeout.
+	firstTokenTimeoutFactor = 10
+	minFirstTokenTimeout    = 2 * time.Second
+	// hedgeTier is the only tier whose requests are hedged.
 	hedgeTier = 0
 )
 
-// HedgeCandidate tells of a request whose only attempt has brought no token yet.
+// HedgeCandidate describes a request whose only attempt has not produced a token yet.
 type HedgeCandidate struct {
 	Class    string
 	Upstream string
 	Tier     int
-	// Allowed is the class's setting.
+	// Allowed is the class's hedging setting.
 	Allowed bool
-	// Repeatable says that running the call twice does no harm.
+	// Repeatable reports that running the call twice is safe.
 	Repeatable bool
 	// Waited is the time since the attempt was sent.
 	Waited time.Duration
-	// Remaining is the time until an answer is of no more use.
+	// Remaining is the time until an answer is no longer useful.
 	Remaining time.Duration
-	// Attempts in flight and those before.
+	// Attempts is the number of attempts so far, including those in flight.
 	Attempts int
 }
 
-// ObserveFirstToken adds the time from sending an attempt to its first token.
+// ObserveFirstToken records the time from sending an attempt to its first token.
 func (p *Policy) ObserveFirstToken(now time.Time, class, upstream string, d time.Duration) {
 	p.latencies.observe(now, budgetKey{class, upstream}, d)
 }
 
-// HedgeDelay returns how long to wait for the first token before asking
-// ShouldHedge, or false where no hedge is to be made.
+// HedgeDelay returns how long to wait for the first token before calling ShouldHedge, or false
+// if no hedge is allowed.
 func (p *Policy) HedgeDelay(h HedgeCandidate) (time.Duration, bool) {
 	if !h.Allowed || !h.Repeatable || h.Tier != hedgeTier || h.Attempts != 1 {
 		return 0, false
@@ -49,23 +47,23 @@
 	return after, true
 }
 
-// FirstTokenTimeout returns the longest that an attempt may stay without its first
-// token before it is given up as hanging; zero where too little is known.
+// FirstTokenTimeout returns how long an attempt may take to its first token, or zero if there
+// are too few samples.
 func (p *Policy) FirstTokenTimeout(class, upstream string) time.Duration {
 	late, known := p.latencies.quantile(budgetKey{class, upstream}, hedgeQuantile)
 	if !known {
 		return 0
 	}
-	return max(patienceFactor*late, leastPatience)
+	return max(firstTokenTimeoutFactor*late, minFirstTokenTimeout)
 }
 
-// ShouldHedge says whether to start a second attempt now. A yes is charged to
-// the retry budget at once.
+// ShouldHedge reports whether to start a second attempt now. If so, it charges the hedge to
+// the retry budget.
 func (p *Policy) ShouldHedge(now time.Time, h HedgeCandidate) bool {
 	after, allowed := p.HedgeDelay(h)
 	if !allowed || h.Waited < after {
 		return false
 	}
 	ratio := p.limits.Load().RetryBudget
-	return p.budget.take(now, budgetKey{h.Class, h.Upstream}, ratio, false)
+	return p.budget.tryTake(now, budgetKey{h.Class, h.Upstream}, ratio, false)
 }
--- a/internal/retry/hedge_test.go
+++ b/internal/retry/hedge_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestHedgeSpendsTheBudget(t *testing.T) {
+func TestHedgeChargesRetryBudget(t *testing.T) {
 	policy := NewPolicy(config.Limits{})
 	for range minSamples {
 		policy.ObserveFirstToken(start, "quick", "llm", time.Millisecond)
@@ -58,12 +58,12 @@
 			hedges++
 		}
 	}
-	if hedges != floor {
-		t.Fatalf("%d hedges without successes, want the floor %d", hedges, floor)
+	if hedges != minAddedAttempts {
+		t.Fatalf("%d hedges without successes, want %d", hedges, minAddedAttempts)
 	}
 }
 
-func TestPatience(t *testing.T) {
+func TestFirstTokenTimeout(t *testing.T) {
 	policy := NewPolicy(config.Limits{})
 	observe := func(class string, latency time.Duration) {
 		for range minSamples {
@@ -73,21 +73,21 @@
 	observe("quick", 10*time.Millisecond)
 	observe("slow", time.Second)
 	if got := policy.FirstTokenTimeout("other", "llm"); got != 0 {
-		t.Errorf("patience %v without samples, want 0", got)
+		t.Errorf("first-token timeout %v without samples, want 0", got)
 	}
-	if got := policy.FirstTokenTimeout("quick", "llm"); got != leastPatience {
-		t.Errorf("patience %v, want the least, %v", got, leastPatience)
+	if got := policy.FirstTokenTimeout("quick", "llm"); got != minFirstTokenTimeout {
+		t.Errorf("first-token timeout %v, want the minimum %v", got, minFirstTokenTimeout)
 	}
 	if got := policy.FirstTokenTimeout("slow", "llm"); got < 9*time.Second || got > 11*time.Second {
-		t.Errorf("patience %v, want about 10 s", got)
+		t.Errorf("first-token timeout %v, want about 10 s", got)
 	}
 }
 
-func TestOldLatenciesAreForgotten(t *testing.T) {
+func TestOldLatenciesExpire(t *testing.T) {
 	policy := NewPolicy(config.Limits{})
 	hedge := HedgeCandidate{Class: "quick", Upstream: "llm", Allowed: true, Repeatable: true, Remaining: time.Hour, Attempts: 1}
 	for generation, latency := range []time.Duration{time.Second, 10 * time.Second} {
-		now := start.Add(time.Duration(generation) * generationSpan)
+		now := start.Add(time.Duration(generation) * sketchLifetime)
 		for range minSamples {
 			policy.ObserveFirstToken(now, "quick", "llm", latency)
 		}
--- a/internal/retry/latencies.go
+++ b/internal/retry/latencies.go
@@ -10,18 +10,16 @@
 
 const (
 	latencyShards = 16
-	// sketchAccuracy is the relative error of a quantile.
+	// sketchAccuracy is the relative error of quantiles.
 	sketchAccuracy = 0.02
-	// sketchBins bounds a sketch's memory.
-	sketchBins = 256
-	// generationSpan is how long a sketch takes samples; the one before it is
-	// read until the new one has enough.
-	generationSpan = time.Minute
-	// minSamples is the least a quantile is told from.
-	minSamples = 50
+	sketchBins     = 256
+	// sketchLifetime is how long a sketch takes samples. The previous sketch is read until the
+	// new one has minSamples.
+	sketchLifetime = time.Minute
+	minSamples     = 50
 )
 
-// latencies holds the recent first token times of each key.
+// latencies records the recent first-token times of each key.
 type latencies struct {
 	seed   maphash.Seed
 	shards [latencyShards]latencyShard
@@ -29,20 +27,19 @@
 
 type latencyShard struct {
 	mu       sync.Mutex
-	sketches map[budgetKey]*generations
+	sketches map[budgetKey]*sketchPair
 }
 
-// generations are the current and the previous sketch of one key.
-type generations struct {
-	began    time.Time
-	current  *ddsketch.DDSketch
-	previous *ddsketch.DDSketch
+type sketchPair struct {
+	startedAt time.Time
+	current   *ddsketch.DDSketch
+	previous  *ddsketch.DDSketch
 }
 
 func newLatencies() *latencies {
 	l := &latencies{seed: maphash.MakeSeed()}
 	for i := range l.shards {
-		l.shards[i].sketches = make(map[budgetKey]*generations)
+		l.shards[i].sketches = make(map[budgetKey]*sketchPair)
 	}
 	return l
 }
@@ -54,13 +51,13 @@
 func newSketch() *ddsketch.DDSketch {
 	sketch, err := ddsketch.LogCollapsingLowestDenseDDSketch(sketchAccuracy, sketchBins)
 	if err != nil {
-		// The arguments are constants, so that only a change of them fails.
+		// Unreachable: the arguments are constants.
 		panic(err)
 	}
 	return sketch
 }
 
-// observe adds one sample; keys past the shard's bound are not kept.
+// observe records one sample. Samples of new keys are dropped once the shard is full.
 func (l *latencies) observe(now time.Time, key budgetKey, d time.Duration) {
 	s := l.shard(key)
 	s.mu.Lock()
@@ -70,17 +67,17 @@
 		return
 	}
 	if !ok {
-		g = &generations{began: now, current: newSketch(), previous: newSketch()}
+		g = &sketchPair{startedAt: now, current: newSketch(), previous: newSketch()}
 		s.sketches[key] = g
 	}
-	if now.Sub(g.began) >= generationSpan {
-		g.began, g.current, g.previous = now, newSketch(), g.current
+	if now.Sub(g.startedAt) >= sketchLifetime {
+		g.startedAt, g.current, g.previous = now, newSketch(), g.current
 	}
-	// Durations are not negative, which is all that Add can refuse here.
+	// Add does not fail for non-negative durations.
 	_ = g.current.Add(max(d, 0).Seconds())
 }
 
-// quantile returns the key's quantile q, or false where too little is known.
+// quantile returns the key's quantile q, or false if there are too few samples.
 func (l *latencies) quantile(key budgetKey, q float64) (time.Duration, bool) {
 	s := l.shard(key)
 	s.mu.Lock()
--- a/internal/retry/metrics.go
+++ b/internal/retry/metrics.go
@@ -12,7 +12,7 @@
 	givenUp *prometheus.CounterVec
 }
 
-// NewMetrics registers the counters; it panics if they are registered already.
+// NewMetrics registers the counters; it panics if they are already registered.
 func NewMetrics(register prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		added: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -25,12 +25,11 @@
 		}, []string{"reason", "outcome"}),
 	}
 	register.MustRegister(m.added, m.givenUp)
-	m.initialise()
+	m.initialize()
 	return m
 }
 
-// initialise makes every reason visible at zero.
-func (m *Metrics) initialise() {
+func (m *Metrics) initialize() {
 	for _, reason := range Reasons() {
 		m.added.WithLabelValues(string(Retry), string(reason))
 	}
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -9,12 +9,11 @@
 )
 
 const (
-	defaultRatio       = 0.1
+	defaultRetryBudget = 0.1
 	defaultMaxAttempts = 3
-	// maxNotRun bounds a request's attempts that did not run; they are not
-	// counted by Limits.MaxAttempts.
-	maxNotRun = 8
-	// retryAfter is what a refused caller is told to wait.
+	// maxNotRun bounds a request's attempts that did not run; Limits.MaxAttempts does not
+	// count them.
+	maxNotRun  = 8
 	retryAfter = time.Second
 	step       = "retry"
 )
@@ -26,17 +25,17 @@
 	latencies *latencies
 }
 
-// NewPolicy returns a policy with the limits.
+// NewPolicy returns a policy with the given limits.
 func NewPolicy(limits config.Limits) *Policy {
 	p := &Policy{budget: newBudget(), latencies: newLatencies()}
 	p.SetLimits(limits)
 	return p
 }
 
-// SetLimits puts new limits in force; zero values mean the defaults.
+// SetLimits replaces the limits; zero values mean the defaults.
 func (p *Policy) SetLimits(limits config.Limits) {
 	if limits.RetryBudget == 0 {
-		limits.RetryBudget = defaultRatio
+		limits.RetryBudget = defaultRetryBudget
 	}
 	if limits.MaxAttempts == 0 {
 		limits.MaxAttempts = defaultMaxAttempts
@@ -44,21 +43,21 @@
 	p.limits.Store(&limits)
 }
 
-// RecordSuccess feeds the budget with one whole answer.
+// RecordSuccess records a complete answer, which increases the retry budget.
 func (p *Policy) RecordSuccess(now time.Time, class, upstream string) {
-	p.budget.succeeded(now, budgetKey{class, upstream})
+	p.budget.recordSuccess(now, budgetKey{class, upstream})
 }
 
-// Decide says what to do after the attempt failed. An added attempt is charged
-// to the budget at once.
+// Decide returns what to do after a failed attempt. An added attempt is charged to the retry
+// budget.
 func (p *Policy) Decide(now time.Time, a Attempt) Decision {
 	limits := p.limits.Load()
 	if refused := refuse(a, limits.MaxAttempts); refused != nil {
 		return giveUp(a, *refused)
 	}
-	if !p.budget.take(now, budgetKey{a.Class, a.Upstream}, limits.RetryBudget, a.Result == NotRun) {
+	if !p.budget.tryTake(now, budgetKey{a.Class, a.Upstream}, limits.RetryBudget, a.Result == NotRun) {
 		return giveUp(a, refusal.Error{
-			Reason: refusal.RetryBudgetSpent, Message: "the retry budget is spent", RetryAfter: retryAfter,
+			Reason: refusal.RetryBudgetSpent, Message: "retry budget exhausted", RetryAfter: retryAfter,
 		})
 	}
 	if a.DeliveredTokens > 0 {
@@ -67,27 +66,26 @@
 	return Decision{Action: Retry, Reason: reasonOf(a)}
 }
 
-// refuse returns why the request may not go on, or nil. The order matters: what
-// may have run and must not run twice is told first.
+// refuse returns why the request must not be retried, or nil. That an unrepeatable call may
+// have run takes precedence over the other reasons.
 func refuse(a Attempt, maxAttempts int) *refusal.Error {
 	switch {
 	case !a.Repeatable && a.mayHaveRun():
-		return &refusal.Error{Reason: refusal.OutcomeUnknown, Message: "the call may have run and is not repeated"}
+		return &refusal.Error{Reason: refusal.OutcomeUnknown, Message: "the call may have run and is not safe to retry"}
 	case a.Result == Rejected:
 		return &refusal.Error{Reason: refusal.UpstreamRefused, Message: "the upstream rejected the request"}
 	case a.DeliveredTokens > 0 && !a.Continuable:
-		return &refusal.Error{Reason: refusal.UpstreamFailed, Message: "the answer broke off and cannot be continued"}
+		return &refusal.Error{Reason: refusal.UpstreamFailed, Message: "the answer ended early and cannot be resumed"}
 	case a.Remaining <= a.MinDuration:
-		return &refusal.Error{Reason: exhausted(a), Message: "no time is left for another attempt"}
-	case a.ran() >= maxAttempts || a.Number-a.ran() >= maxNotRun:
-		return &refusal.Error{Reason: exhausted(a), Message: "all attempts failed", RetryAfter: retryAfter}
+		return &refusal.Error{Reason: exhaustedReason(a), Message: "not enough time left for another attempt"}
+	case a.possibleRuns() >= maxAttempts || a.Number-a.possibleRuns() >= maxNotRun:
+		return &refusal.Error{Reason: exhaustedReason(a), Message: "all attempts failed", RetryAfter: retryAfter}
 	default:
 		return nil
 	}
 }
 
-// exhausted is the reason told where no further attempt is made.
-func exhausted(a Attempt) refusal.Reason {
+func exhaustedReason(a Attempt) refusal.Reason {
 	switch a.Result {
 	case NotRun:
 		return refusal.UpstreamRefused
@@ -98,7 +96,6 @@
 	}
 }
 
-// giveUp completes the refusal with what is proved of the whole request.
 func giveUp(a Attempt, refused refusal.Error) Decision {
 	refused.Step = step
 	refused.Peer = a.Peer
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// firstFailure is a repeatable request whose first attempt failed.
+// firstFailure returns the failed first attempt of a repeatable request.
 func firstFailure(result Result) Attempt {
 	return Attempt{
 		Class: "quick", Upstream: "llm", Result: result, Peer: "10.0.0.1:1",
@@ -81,8 +81,9 @@
 	}
 }
 
-// TestDecideKeepsPromises drives arbitrary chains of failures.
-func TestDecideKeepsPromises(t *testing.T) {
+// Unrepeatable calls must not be retried, whatever the sequence of failures, and a refusal
+// must not claim that a call did not run if it may have.
+func TestDecideInvariants(t *testing.T) {
 	results := []Result{NotRun, Broken, Crashed, TimedOut, Rejected}
 	rapid.Check(t, func(t *rapid.T) {
 		policy := NewPolicy(config.Limits{})
@@ -100,12 +101,12 @@
 			}
 			if d.Action == GiveUp {
 				if (d.Refusal.Outcome == refusal.NotRun) != (run == 0) {
-					t.Fatalf("told %s after %d runs", d.Refusal.Outcome, run)
+					t.Fatalf("outcome %s after %d runs", d.Refusal.Outcome, run)
 				}
 				return
 			}
 			if run > 0 && !repeatable {
-				t.Fatal("an unrepeatable call is repeated")
+				t.Fatal("unrepeatable call was retried")
 			}
 			if run >= defaultMaxAttempts || notRun >= maxNotRun {
 				t.Fatalf("attempt added after %d runs and %d not run", run, notRun)
@@ -124,8 +125,8 @@
 		}
 		return n
 	}
-	if n := granted(start, Crashed, 100); n != floor {
-		t.Fatalf("%d granted without successes, want the floor %d", n, floor)
+	if n := granted(start, Crashed, 100); n != minAddedAttempts {
+		t.Fatalf("%d granted without successes, want %d", n, minAddedAttempts)
 	}
 	if n := granted(start, NotRun, 100); n != notRunAllowance {
 		t.Fatalf("%d not run granted, want %d", n, notRunAllowance)
@@ -135,12 +136,12 @@
 		policy.RecordSuccess(start, "slow", "llm")
 	}
 	if n := granted(start, NotRun, 100); n != 10 {
-		t.Fatalf("%d more granted after 200 successes at 0.2, want 10: 40 less %d and %d", n, notRunAllowance, floor)
+		t.Fatalf("%d more granted after 200 successes at 0.2, want 10: 40 less %d and %d", n, notRunAllowance, minAddedAttempts)
 	}
-	if n := granted(start.Add(windowCells*cellSpan), Crashed, 100); n != floor {
-		t.Fatalf("%d granted after the window, want the floor %d", n, floor)
+	if n := granted(start.Add(windowBuckets*bucketDuration), Crashed, 100); n != minAddedAttempts {
+		t.Fatalf("%d granted after the window, want %d", n, minAddedAttempts)
 	}
-	refused := policy.Decide(start.Add(windowCells*cellSpan), firstFailure(Crashed)).Refusal
+	refused := policy.Decide(start.Add(windowBuckets*bucketDuration), firstFailure(Crashed)).Refusal
 	if refused == nil || refused.Reason != refusal.RetryBudgetSpent || refused.RetryAfter == 0 {
 		t.Fatalf("refusal %+v", refused)
 	}
--- a/internal/retry/reason.go
+++ b/internal/retry/reason.go
@@ -1,9 +1,9 @@
 package retry
 
-// Reason is one entry of the closed list of why an attempt was added.
+// Reason is why an attempt was added. The set of reasons is fixed.
 type Reason string
 
-// The reasons of an added attempt.
+// Reasons for adding an attempt.
 const (
 	ReasonNotRun       Reason = "not_run"
 	ReasonBroken       Reason = "broken_before_answer"
@@ -13,7 +13,7 @@
 	ReasonHedge        Reason = "hedge"
 )
 
-// Reasons returns the closed list.
+// Reasons returns all reasons.
 func Reasons() []Reason {
 	return []Reason{
 		ReasonNotRun, ReasonBroken, ReasonBrokenAnswer,
--- a/internal/retry/result.go
+++ b/internal/retry/result.go
@@ -1,19 +1,18 @@
 package retry
 
-// Result says how an attempt ended.
+// Result is how an attempt without a complete answer ended.
 type Result string
 
-// The results of an attempt that did not give a whole answer.
 const (
-	// NotRun is an attempt that certainly did not run.
+	// NotRun means that the attempt is known not to have run.
 	NotRun Result = "not_run"
-	// Broken is an attempt whose answer ended early.
+	// Broken means that the answer ended early.
 	Broken Result = "broken"
-	// Crashed is an attempt whose connection was lost.
+	// Crashed means that the connection was lost.
 	Crashed Result = "crashed"
-	// TimedOut is an attempt that was given up for its silence.
+	// TimedOut means that the attempt was canceled because the replica did not respond in
+	// time.
 	TimedOut Result = "timed_out"
-	// Rejected is an attempt that the upstream answered with an error which
-	// another attempt would meet again.
+	// Rejected means that the upstream returned an error that a retry would not avoid.
 	Rejected Result = "rejected"
 )
--- a/internal/retry/storm_test.go
+++ b/internal/retry/storm_test.go
@@ -10,37 +10,36 @@
 )
 
 const (
-	stormReplicas = 21
-	stormLost     = 7
-	stormRate     = 200 // requests a second
-	stormSeconds  = 60
-	lossAt        = 30 * time.Second
-	attemptTime   = time.Second // mean
-	silence       = time.Second // until a lost replica's attempt times out
-	asideFor      = 5 * time.Second
+	stormReplicas   = 21
+	lostReplicas    = 7
+	stormRate       = 200 // requests a second
+	stormSeconds    = 60
+	lossAt          = 30 * time.Second
+	meanAttemptTime = time.Second
+	attemptTimeout  = time.Second // of attempts on lost replicas
+	ejectionTime    = 5 * time.Second
 )
 
-// storm is a run in discrete time in which a third of the replicas is lost.
-type storm struct {
+// stormSimulation simulates the loss of a third of the replicas at lossAt.
+type stormSimulation struct {
 	random *rand.Rand
 	decide func(time.Time, Attempt) bool
 	policy *Policy
-	// result is what an attempt at a lost replica meets.
+	// result is the result of attempts on lost replicas.
 	result Result
-	// learns says that a replica is set aside once it failed.
-	learns bool
-	aside  [stormReplicas]time.Time
-	events stormEvents
-	// arrivals and added count by second.
+	// ejects excludes a replica for ejectionTime after a failure.
+	ejects       bool
+	ejectedUntil [stormReplicas]time.Time
+	events       stormEvents
+	// arrivals and added are counts per second.
 	arrivals, added [stormSeconds]int
 }
 
-// stormEvent is the start or the end of an attempt.
 type stormEvent struct {
 	at      time.Duration
 	attempt Attempt
 	replica int
-	ends    bool
+	isEnd   bool
 }
 
 type stormEvents []stormEvent
@@ -55,7 +54,7 @@
 	return last
 }
 
-func (s *storm) run() {
+func (s *stormSimulation) run() {
 	for at := time.Duration(0); at < stormSeconds*time.Second; {
 		at += time.Duration(s.random.ExpFloat64() / stormRate * float64(time.Second))
 		attempt := firstFailure("")
@@ -65,28 +64,28 @@
 		}
 	}
 	for s.events.Len() > 0 {
-		s.step(heap.Pop(&s.events).(stormEvent))
+		s.handle(heap.Pop(&s.events).(stormEvent))
 	}
 }
 
-func (s *storm) step(e stormEvent) {
-	if e.ends {
+func (s *stormSimulation) handle(e stormEvent) {
+	if e.isEnd {
 		s.end(e)
 		return
 	}
 	e.replica = s.choose(e.at)
-	e.ends = true
-	lost := e.replica < stormLost && e.at >= lossAt
+	e.isEnd = true
+	lost := e.replica < lostReplicas && e.at >= lossAt
 	switch {
 	case lost && s.result == NotRun:
 		e.attempt.Result = NotRun
 	case lost:
 		e.attempt.Result = s.result
-		e.at += silence
+		e.at += attemptTimeout
 	default:
 		e.attempt.Result = ""
-		end := e.at + time.Duration(s.random.ExpFloat64()*float64(attemptTime))
-		if e.replica < stormLost && e.at < lossAt && end >= lossAt {
+		end := e.at + time.Duration(s.random.ExpFloat64()*float64(meanAttemptTime))
+		if e.replica < lostReplicas && e.at < lossAt && end >= lossAt {
 			e.attempt.Result = Crashed
 			end = lossAt
 		}
@@ -95,23 +94,23 @@
 	heap.Push(&s.events, e)
 }
 
-func (s *storm) choose(at time.Duration) int {
+func (s *stormSimulation) choose(at time.Duration) int {
 	for {
 		replica := s.random.IntN(stormReplicas)
-		if !start.Add(at).Before(s.aside[replica]) {
+		if !start.Add(at).Before(s.ejectedUntil[replica]) {
 			return replica
 		}
 	}
 }
 
-func (s *storm) end(e stormEvent) {
+func (s *stormSimulation) end(e stormEvent) {
 	now := start.Add(e.at)
 	if e.attempt.Result == "" {
 		s.policy.RecordSuccess(now, e.attempt.Class, e.attempt.Upstream)
 		return
 	}
-	if s.learns {
-		s.aside[e.replica] = now.Add(asideFor)
+	if s.ejects {
+		s.ejectedUntil[e.replica] = now.Add(ejectionTime)
 	}
 	if !s.decide(now, e.attempt) {
 		return
@@ -123,12 +122,12 @@
 		e.attempt.NotRunBefore++
 	}
 	e.attempt.Number++
-	e.ends = false
+	e.isEnd = false
 	heap.Push(&s.events, e)
 }
 
-// share is the part of added attempts in the seconds after the loss.
-func (s *storm) share(seconds int) float64 {
+// addedFraction is the ratio of added attempts to arrivals after the loss.
+func (s *stormSimulation) addedFraction(seconds int) float64 {
 	arrivals, added := 0, 0
 	for i := int(lossAt / time.Second); i < int(lossAt/time.Second)+seconds; i++ {
 		arrivals += s.arrivals[i]
@@ -137,31 +136,31 @@
 	return float64(added) / float64(arrivals)
 }
 
-func newStorm(result Result, learns bool) *storm {
-	s := &storm{random: rand.New(rand.NewPCG(1, 2)), result: result, learns: learns}
+func newStormSimulation(result Result, ejects bool) *stormSimulation {
+	s := &stormSimulation{random: rand.New(rand.NewPCG(1, 2)), result: result, ejects: ejects}
 	s.policy = NewPolicy(config.Limits{})
 	s.decide = func(now time.Time, a Attempt) bool { return s.policy.Decide(now, a).Action != GiveUp }
 	return s
 }
 
-// TestZoneLossMakesNoStorm measures the attempts added after the loss of a
-// third of the replicas, also where nobody learns of the loss.
-func TestZoneLossMakesNoStorm(t *testing.T) {
-	const most = 0.10
+// TestZoneLossCausesNoRetryStorm bounds the attempts added after the loss of a third of the
+// replicas, with and without ejection of the lost ones.
+func TestZoneLossCausesNoRetryStorm(t *testing.T) {
+	const maxFraction = 0.10
 	for _, result := range []Result{NotRun, TimedOut} {
-		for _, learns := range []bool{true, false} {
-			measured := newStorm(result, learns)
+		for _, ejects := range []bool{true, false} {
+			measured := newStormSimulation(result, ejects)
 			measured.run()
-			unbounded := newStorm(result, learns)
+			unbounded := newStormSimulation(result, ejects)
 			unbounded.decide = func(_ time.Time, a Attempt) bool { return a.Number < defaultMaxAttempts }
 			unbounded.run()
-			t.Logf("%s, learns %v: added in 10 s %.3f, in 30 s %.3f; without a budget %.3f, %.3f",
-				result, learns, measured.share(10), measured.share(30), unbounded.share(10), unbounded.share(30))
-			if measured.share(30) >= most || measured.share(10) >= most {
-				t.Errorf("%s, learns %v: added %.3f in 10 s, %.3f in 30 s", result, learns, measured.share(10), measured.share(30))
+			t.Logf("%s, ejects %v: added in 10 s %.3f, in 30 s %.3f; without a budget %.3f, %.3f",
+				result, ejects, measured.addedFraction(10), measured.addedFraction(30), unbounded.addedFraction(10), unbounded.addedFraction(30))
+			if measured.addedFraction(30) >= maxFraction || measured.addedFraction(10) >= maxFraction {
+				t.Errorf("%s, ejects %v: added %.3f in 10 s, %.3f in 30 s", result, ejects, measured.addedFraction(10), measured.addedFraction(30))
 			}
-			if !learns && unbounded.share(30) < most {
-				t.Errorf("the run without a budget adds only %.3f: the check proves nothing", unbounded.share(30))
+			if !ejects && unbounded.addedFraction(30) < maxFraction {
+				t.Errorf("only %.3f added without a budget: the simulation does not exercise the budget", unbounded.addedFraction(30))
 			}
 		}
 	}
--- a/internal/scheduler/band.go
+++ b/internal/scheduler/band.go
@@ -2,43 +2,43 @@
 
 import "container/heap"
 
-// band shares its class's turn between the workspaces by start-time fair
-// queueing over expected tokens. Within a workspace the least key is first.
-type band[T any] struct {
+// fairQueue implements start-time fair queueing across the workspaces of one class, with costs
+// in expected tokens. A workspace's item with the smallest key is first.
+type fairQueue[T any] struct {
 	state  itemState
 	flows  map[string]*flow[T]
 	active flowHeap[T]
 	clock  *clock
-	live   int
+	queued int
 }
 
-// clock is the virtual time of the fair queueing: the start tag of what went
-// last.
-type clock struct{ virtual float64 }
+// clock is the virtual time of start-time fair queueing: the largest start tag dequeued so
+// far.
+type clock struct{ virtualTime float64 }
 
-func newBand[T any](state itemState) *band[T] {
-	return &band[T]{state: state, flows: make(map[string]*flow[T])}
+func newFairQueue[T any](state itemState) *fairQueue[T] {
+	return &fairQueue[T]{state: state, flows: make(map[string]*flow[T])}
 }
 
-func (b *band[T]) push(item *Item[T], key int64) {
+func (b *fairQueue[T]) push(item *Item[T], key int64) {
 	f := b.flow(item.Workspace)
-	if f.live == 0 {
-		f.tag = max(f.tag, b.clock.virtual)
+	if f.queued == 0 {
+		f.startTag = max(f.startTag, b.clock.virtualTime)
 		heap.Push(&b.active, f)
 	}
 	item.state = b.state
-	f.live++
-	b.live++
-	f.items.add(item, key, f.live)
+	f.queued++
+	b.queued++
+	f.items.add(item, key, f.queued)
 }
 
-// flow returns the workspace's flow. Idle flows are kept while their tag is
-// ahead, so that leaving and coming back wins nothing.
-func (b *band[T]) flow(workspace string) *flow[T] {
+// flow returns or creates the workspace's flow. Idle flows are kept while their start tag is
+// ahead, so that a workspace gains nothing by leaving and returning.
+func (b *fairQueue[T]) flow(workspace string) *flow[T] {
 	if f, ok := b.flows[workspace]; ok {
 		return f
 	}
-	if len(b.flows) > minCompact && len(b.flows) > 2*len(b.active) {
+	if len(b.flows) > compactThreshold && len(b.flows) > 2*len(b.active) {
 		b.prune()
 	}
 	f := &flow[T]{workspace: workspace, index: -1}
@@ -46,47 +46,45 @@
 	return f
 }
 
-func (b *band[T]) prune() {
+func (b *fairQueue[T]) prune() {
 	for name, f := range b.flows {
-		if f.live == 0 && (f.tag <= b.clock.virtual || len(b.flows) > maxIdleFlows) {
+		if f.queued == 0 && (f.startTag <= b.clock.virtualTime || len(b.flows) > maxIdleFlows) {
 			delete(b.flows, name)
 		}
 	}
 }
 
-// maxIdleFlows bounds the flows that are kept for their tag alone.
+// maxIdleFlows bounds the idle flows kept only for their start tags.
 const maxIdleFlows = 4096
 
-// first returns the next item, or nil.
-func (b *band[T]) first() *Item[T] {
+func (b *fairQueue[T]) first() *Item[T] {
 	if len(b.active) == 0 {
 		return nil
 	}
 	return b.active[0].items.first()
 }
 
-// charge moves the item's workspace back by the item's weighted cost.
-func (b *band[T]) charge(item *Item[T], weight float64) {
+func (b *fairQueue[T]) charge(item *Item[T], weight float64) {
 	f := b.flows[item.Workspace]
-	b.clock.virtual = max(b.clock.virtual, f.tag)
+	b.clock.virtualTime = max(b.clock.virtualTime, f.startTag)
 	item.charge = item.Cost / weight
-	b.shift(f, item.charge)
+	b.advanceTag(f, item.charge)
 }
 
-func (b *band[T]) shift(f *flow[T], by float64) {
-	f.tag += by
+func (b *fairQueue[T]) advanceTag(f *flow[T], by float64) {
+	f.startTag += by
 	if f.index >= 0 {
 		heap.Fix(&b.active, f.index)
 	}
 }
 
-// remove takes a waiting item out; heap entries of it become out of date.
-func (b *band[T]) remove(item *Item[T]) {
+// remove removes a queued item. Its heap entries become stale.
+func (b *fairQueue[T]) remove(item *Item[T]) {
 	f := b.flows[item.Workspace]
-	item.state = gone
-	f.live--
-	b.live--
-	if f.live > 0 {
+	item.state = dequeued
+	f.queued--
+	b.queued--
+	if f.queued > 0 {
 		return
 	}
 	heap.Remove(&b.active, f.index)
--- a/internal/scheduler/class_queue.go
+++ b/internal/scheduler/class_queue.go
@@ -2,30 +2,26 @@
 
 import "time"
 
-// classQueue holds one class's waiting items.
 type classQueue[T any] struct {
 	Class
-	// onTime items can still meet their target; late ones cannot, and run
-	// only where none of their tier can.
-	onTime *band[T]
-	late   *band[T]
-	// The items by Arrived, by Latest and by Useless.
-	byArrival lazyHeap[T]
-	byLatest  lazyHeap[T]
-	byUseless lazyHeap[T]
-	share     share
+	// late items are past their latest start; they run after the tier's on-time items.
+	onTime        *fairQueue[T]
+	late          *fairQueue[T]
+	byArrival     lazyHeap[T]
+	byLatestStart lazyHeap[T]
+	byExpiry      lazyHeap[T]
+	share         shareLimiter
 }
 
 func newClassQueue[T any](class Class) *classQueue[T] {
 	return &classQueue[T]{
-		Class: class, onTime: newBand[T](onTime), late: newBand[T](late),
+		Class: class, onTime: newFairQueue[T](onTime), late: newFairQueue[T](late),
 		byArrival: lazyHeap[T]{anyState: true},
-		byUseless: lazyHeap[T]{anyState: true},
+		byExpiry:  lazyHeap[T]{anyState: true},
 	}
 }
 
-// tierClocks are the clocks of a tier's bands, so that the start tags of all its
-// classes can be compared.
+// tierClocks are shared by all classes of a tier, to make start tags comparable.
 type tierClocks struct {
 	onTime, late clock
 }
@@ -35,37 +31,36 @@
 	c.late.clock = &clocks.late
 }
 
-func (c *classQueue[T]) len() int { return c.onTime.live + c.late.live }
+func (c *classQueue[T]) len() int { return c.onTime.queued + c.late.queued }
 
 func (c *classQueue[T]) push(now time.Time, item *Item[T]) {
 	item.class = c
-	live := c.len() + 1
+	queued := c.len() + 1
 	if item.LatestStart.Before(now) {
 		c.late.push(item, item.Arrived.UnixNano())
 	} else {
 		c.onTime.push(item, item.LatestStart.UnixNano())
-		c.byLatest.add(item, item.LatestStart.UnixNano(), c.onTime.live)
+		c.byLatestStart.add(item, item.LatestStart.UnixNano(), c.onTime.queued)
 	}
-	c.byArrival.add(item, item.Arrived.UnixNano(), live)
-	c.byUseless.add(item, item.ExpiresAt.UnixNano(), live)
+	c.byArrival.add(item, item.Arrived.UnixNano(), queued)
+	c.byExpiry.add(item, item.ExpiresAt.UnixNano(), queued)
 }
 
-// demote moves the items that can no longer meet their target.
+// demote moves the items that are past their latest start to late.
 func (c *classQueue[T]) demote(now time.Time) {
-	for item := c.byLatest.first(); item != nil && item.LatestStart.Before(now); item = c.byLatest.first() {
+	for item := c.byLatestStart.first(); item != nil && item.LatestStart.Before(now); item = c.byLatestStart.first() {
 		c.onTime.remove(item)
 		c.late.push(item, item.Arrived.UnixNano())
 	}
 }
 
-func (c *classQueue[T]) band(item *Item[T]) *band[T] {
+func (c *classQueue[T]) queueOf(item *Item[T]) *fairQueue[T] {
 	if item.state == onTime {
 		return c.onTime
 	}
 	return c.late
 }
 
-// first returns the class's next item, or nil.
 func (c *classQueue[T]) first(now time.Time) *Item[T] {
 	c.demote(now)
 	if item := c.onTime.first(); item != nil {
@@ -74,8 +69,8 @@
 	return c.late.first()
 }
 
-// shareDue says whether the class's oldest item has waited so long that the
-// minimum share is due, and whether the share has room.
+// shareDue reports whether the class's oldest item has waited MinShareAfter and the minimum
+// share has a free slot.
 func (c *classQueue[T]) shareDue(now time.Time, slots int) bool {
 	oldest := c.byArrival.first()
 	if oldest == nil || c.MinShareAfter <= 0 {
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,9 +1,7 @@
-// Package scheduler orders the waiting requests of one pool: by tier, within a
-// tier by slack, within a class by the workspaces' weighted fair share, with a
-// minimum share of the slots for classes whose oldest request waited too long.
+// Package scheduler orders the waiting requests of one pool: by tier, then by slack, with
+// weighted fair queueing across the workspaces of a class. Classes whose oldest request has
+// waited too long get a minimum share of the slots.
 //
-// It is pure: the time is passed in, and there is no I/O, goroutine or lock. It
-// holds soft state, bounded by a small multiple of the waiting requests; losing
-// it costs the waiting requests of one node only. A platform outage does not
-// touch it.
+// It does no I/O, takes the time as a parameter, and keeps its state in memory, in proportion
+// to the number of waiting requests.
 package scheduler
--- a/internal/scheduler/lazyheap.go
+++ b/internal/scheduler/lazyheap.go
@@ -2,15 +2,13 @@
 
 import "container/heap"
 
-// minCompact is the number of entries below which a heap is not compacted.
-const minCompact = 64
+// compactThreshold is the number of entries below which a heap is not compacted.
+const compactThreshold = 64
 
-// entry is an item under the key that it had when it was pushed.
 type entry[T any] struct {
 	key  int64
 	item *Item[T]
-	// state is the item's state when it was pushed; another one now means
-	// that the entry is out of date.
+	// state is the item's state when the entry was added; stale if it differs now.
 	state    itemState
 	sequence uint64
 }
@@ -19,11 +17,11 @@
 	return e.item.state == e.state && e.item.sequence == e.sequence
 }
 
-// lazyHeap is a heap of items by key. Items that left the queue or changed
-// their state stay in it until they are met or the heap is compacted.
+// lazyHeap is a min-heap of items by key. Stale entries are removed when they reach the top or
+// when the heap is compacted.
 type lazyHeap[T any] struct {
 	entries []entry[T]
-	// anyState takes all waiting items as valid, on time or late.
+	// anyState keeps entries valid when their item moves from on time to late.
 	anyState bool
 }
 
@@ -37,10 +35,8 @@
 }
 func (h *lazyHeap[T]) Swap(i, j int) { h.entries[i], h.entries[j] = h.entries[j], h.entries[i] }
 
-// Push implements heap.Interface.
 func (h *lazyHeap[T]) Push(x any) { h.entries = append(h.entries, *x.(*entry[T])) }
 
-// Pop implements heap.Interface.
 func (h *lazyHeap[T]) Pop() any {
 	last := len(h.entries) - 1
 	item := h.entries[last].item
@@ -49,15 +45,15 @@
 	return item
 }
 
-// add pushes item; live is the number of valid entries, which bounds the heap.
-func (h *lazyHeap[T]) add(item *Item[T], key int64, live int) {
-	if len(h.entries) > minCompact && len(h.entries) > 2*live {
+// add adds item and compacts the heap if more than half of it is stale.
+func (h *lazyHeap[T]) add(item *Item[T], key int64, valid int) {
+	if len(h.entries) > compactThreshold && len(h.entries) > 2*valid {
 		h.compact()
 	}
 	heap.Push(h, &entry[T]{key: key, item: item, state: item.state, sequence: item.sequence})
 }
 
-// first returns the valid item with the least key, or nil.
+// first returns the valid item with the smallest key, or nil.
 func (h *lazyHeap[T]) first() *Item[T] {
 	for len(h.entries) > 0 {
 		if h.valid(&h.entries[0]) {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Queue is the order of one pool's waiting items. It is not safe for
-// concurrent use.
+// Queue holds the waiting items of one pool in scheduling order. It is not safe for concurrent
+// use.
 type Queue[T any] struct {
-	// classes by tier, then name.
+	// classes is sorted by tier, then name.
 	classes  []*classQueue[T]
 	byName   map[string]*classQueue[T]
 	weights  map[string]float64
 	clocks   map[int]*tierClocks
 	sequence uint64
-	live     int
+	queued   int
 }
 
 // NewQueue returns an empty queue without classes.
@@ -23,7 +23,6 @@
 	return &Queue[T]{byName: make(map[string]*classQueue[T]), clocks: make(map[int]*tierClocks)}
 }
 
-// clocksOf returns the clocks that all classes of a tier share.
 func (q *Queue[T]) clocksOf(tier int) *tierClocks {
 	clocks, ok := q.clocks[tier]
 	if !ok {
@@ -33,7 +32,7 @@
 	return clocks
 }
 
-// SetClass adds a class or changes its settings.
+// SetClass adds a class or updates its settings.
 func (q *Queue[T]) SetClass(class Class) {
 	c, ok := q.byName[class.Name]
 	if !ok {
@@ -48,7 +47,8 @@
 	})
 }
 
-// RemoveClass forgets a class in which nothing waits and nothing runs by share.
+// RemoveClass removes a class unless it has queued items or items running under its minimum
+// share.
 func (q *Queue[T]) RemoveClass(name string) {
 	c, ok := q.byName[name]
 	if !ok || c.len() > 0 || c.share.running > 0 {
@@ -61,7 +61,7 @@
 	}
 }
 
-// SetWeights sets the workspaces' fair shares; 1 where one is missing.
+// SetWeights sets the workspaces' fair-share weights. The default weight is 1.
 func (q *Queue[T]) SetWeights(weights map[string]float64) { q.weights = weights }
 
 func (q *Queue[T]) weight(workspace string) float64 {
@@ -71,48 +71,47 @@
 	return 1
 }
 
-// Len returns the number of waiting items.
-func (q *Queue[T]) Len() int { return q.live }
+// Len returns the number of queued items.
+func (q *Queue[T]) Len() int { return q.queued }
 
-// Push puts item into the named class, which must be known.
+// Push adds item to the named class, which must exist.
 func (q *Queue[T]) Push(now time.Time, class string, item *Item[T]) {
 	q.sequence++
 	item.sequence = q.sequence
-	q.live++
+	q.queued++
 	q.byName[class].push(now, item)
 }
 
-// Remove takes a waiting item out.
+// Remove removes item if it is queued.
 func (q *Queue[T]) Remove(item *Item[T]) {
 	if !item.Queued() {
 		return
 	}
-	item.class.band(item).remove(item)
-	q.live--
+	item.class.queueOf(item).remove(item)
+	q.queued--
 }
 
-// Pop takes out the item that the next of slots slots is for, or returns nil.
-// Minimum shares that are due go first; they take a free slot and nothing else.
+// Pop removes and returns the next item, or nil. slots is the pool's total number. Items whose
+// class is due its minimum share go first, without preemption.
 func (q *Queue[T]) Pop(now time.Time, slots int) *Item[T] {
 	next := q.first(now)
 	if next == nil {
 		return nil
 	}
-	if owed := q.owed(now, slots, next); owed != nil {
-		owed.byShare = true
-		owed.class.share.running++
-		next = owed
+	if due := q.dueItem(now, slots, next); due != nil {
+		due.byMinShare = true
+		due.class.share.running++
+		next = due
 	}
-	band := next.class.band(next)
-	band.charge(next, q.weight(next.Workspace))
+	fair := next.class.queueOf(next)
+	fair.charge(next, q.weight(next.Workspace))
 	q.Remove(next)
 	return next
 }
 
-// first returns the next item by tier, then on time before late, then slack, or
-// in place of slack the workspaces' shares where the tier has late ones: not all
-// can be served in time then, and slack would have a workspace that asks for too
-// much draw the others along.
+// first returns the next item by tier, then on time before late, then slack. If the tier has
+// late items, start tags replace slack: by slack, the excess load of one workspace would delay
+// the others.
 func (q *Queue[T]) first(now time.Time) *Item[T] {
 	var best *Item[T]
 	late := false
@@ -121,32 +120,31 @@
 			return best
 		}
 		item := c.first(now)
-		late = late || c.late.live > 0
-		if item != nil && (best == nil || item.ahead(best, late)) {
+		late = late || c.late.queued > 0
+		if item != nil && (best == nil || item.precedes(best, late)) {
 			best = item
 		}
 	}
 	return best
 }
 
-// ahead orders the heads of two classes of one tier.
-func (i *Item[T]) ahead(other *Item[T], byShare bool) bool {
+// precedes orders the heads of two classes of one tier.
+func (i *Item[T]) precedes(other *Item[T], byStartTag bool) bool {
 	if i.state != other.state {
 		return i.state == onTime
 	}
-	if mine, others := i.tag(), other.tag(); byShare && mine != others {
-		return mine < others
+	if own, others := i.startTag(), other.startTag(); byStartTag && own != others {
+		return own < others
 	}
 	return i.LatestStart.Before(other.LatestStart)
 }
 
-// tag is the start tag of a waiting item's workspace.
-func (i *Item[T]) tag() float64 {
-	return i.class.band(i).flows[i.Workspace].tag
+func (i *Item[T]) startTag() float64 {
+	return i.class.queueOf(i).flows[i.Workspace].startTag
 }
 
-// owed returns the item of a class, other than next's, whose share is due.
-func (q *Queue[T]) owed(now time.Time, slots int, next *Item[T]) *Item[T] {
+// dueItem returns the next item of another class whose minimum share is due, or nil.
+func (q *Queue[T]) dueItem(now time.Time, slots int, next *Item[T]) *Item[T] {
 	for _, c := range q.classes {
 		if c != next.class && c.shareDue(now, slots) {
 			return c.first(now)
@@ -155,29 +153,30 @@
 	return nil
 }
 
-// Restore puts back an item that Pop took out and that could not be used.
+// Restore puts back a popped item that could not be started and refunds its cost.
 func (q *Queue[T]) Restore(now time.Time, item *Item[T]) {
-	if item.byShare {
+	if item.byMinShare {
 		item.class.share.running--
-		item.byShare = false
+		item.byMinShare = false
 	}
 	charge := item.charge
 	q.Push(now, item.class.Name, item)
-	band := item.class.band(item)
-	band.shift(band.flows[item.Workspace], -charge)
+	fair := item.class.queueOf(item)
+	fair.advanceTag(fair.flows[item.Workspace], -charge)
 }
 
-// ReleaseMinShare gives back the share's slot of an item that left by share and held it.
+// ReleaseMinShare releases the slot that item occupied for held, if it was popped under its
+// class's minimum share.
 func (q *Queue[T]) ReleaseMinShare(now time.Time, item *Item[T], held time.Duration, slots int) {
-	if !item.byShare {
+	if !item.byMinShare {
 		return
 	}
-	item.byShare = false
+	item.byMinShare = false
 	c := item.class
-	c.share.ended(now, held, c.minShare()*float64(slots))
+	c.share.release(now, held, c.minShare()*float64(slots))
 }
 
-// HighestTier returns the highest tier of which an item waits, or -1.
+// HighestTier returns the highest-priority tier with a queued item, or -1.
 func (q *Queue[T]) HighestTier() int {
 	for _, c := range q.classes {
 		if c.len() > 0 {
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestShareIsDueAfterWaitingAndBounded(t *testing.T) {
+func TestMinShareIsDelayedAndBounded(t *testing.T) {
 	q := newTestQueue()
 	for i := range 4 {
 		q.Push(start, "high", newItem("h", "w", time.Minute+time.Duration(i)))
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestRestoreKeepsThePlace(t *testing.T) {
+func TestRestoreKeepsOrder(t *testing.T) {
 	q := newTestQueue()
 	q.Push(start, "high", newItem("a", "w", time.Second))
 	q.Push(start, "high", newItem("b", "w", 2*time.Second))
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestShedTakesTheLowestTierOnly(t *testing.T) {
+func TestShedRemovesFromLowestTierOnly(t *testing.T) {
 	q := newTestQueue()
 	q.Push(start, "high", newItem("a", "w", time.Second))
 	q.Push(start, "low", newItem("b", "w", time.Second))
@@ -95,33 +95,33 @@
 	}
 }
 
-// Entries of items that left must not pile up, whatever the order they leave in.
+// Stale heap entries must not accumulate, in whatever order items leave.
 func TestMemoryIsBounded(t *testing.T) {
 	q := newTestQueue()
-	var held []*Item[string]
+	var waiting []*Item[string]
 	for i := range 20000 {
 		item := newItem("a", strconv.Itoa(i%5000), time.Duration(20000-i)*time.Second)
 		q.Push(start, "high", item)
-		held = append(held, item)
-		if len(held) > 100 {
-			q.Remove(held[0])
-			held = held[1:]
+		waiting = append(waiting, item)
+		if len(waiting) > 100 {
+			q.Remove(waiting[0])
+			waiting = waiting[1:]
 		}
 	}
 	c := q.byName["high"]
 	for name, got := range map[string]int{
-		"byArrival": c.byArrival.Len(), "byLatest": c.byLatest.Len(), "byUseless": c.byUseless.Len(),
+		"byArrival": c.byArrival.Len(), "byLatestStart": c.byLatestStart.Len(), "byExpiry": c.byExpiry.Len(),
 		"flows": len(c.onTime.flows), "active": len(c.onTime.active),
 	} {
-		if most := 2*len(held) + minCompact + 1; got > most {
-			t.Errorf("%s holds %d entries for %d waiting, want at most %d", name, got, len(held), most)
+		if most := 2*len(waiting) + compactThreshold + 1; got > most {
+			t.Errorf("%s has %d entries for %d waiting, want at most %d", name, got, len(waiting), most)
 		}
 	}
 }
 
-// While one class's burst makes some of its requests late, a workspace of
-// another class of the tier gets its share; slack decides while none is late.
-func TestBurstOfAClassLeavesTheOthersOfItsTierTheirShare(t *testing.T) {
+// A burst that makes one class's requests late must not delay the workspaces of other classes
+// in the tier. Without late items, slack decides.
+func TestClassBurstKeepsFairSharesInTier(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		late bool
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestEarliestIsThatOfTheMostUrgent(t *testing.T) {
+func TestMinLatestStart(t *testing.T) {
 	q := newTestQueue()
 	if got := q.MinLatestStart("high"); !got.IsZero() {
 		t.Errorf("of an empty class: %v, want none", got)
