--- a/internal/claim/answer.go
+++ b/internal/claim/answer.go
@@ -2,13 +2,13 @@
 
 import "net/http"
 
-// Answer is a recorded answer of an upstream.
+// Answer is an upstream response that the ledger records for repeats.
 type Answer struct {
 	Status int
-	// Header holds the kept headers only.
+	// Header contains only the headers selected for retention.
 	Header http.Header
 	Body   []byte
-	// BodyDropped says that the body was not kept: it was over the bound, or
-	// its retention has passed. The status is still the one of the run.
+	// BodyDropped reports that the body was not retained, because it exceeded the size
+	// limit or its retention has expired. Status is still that of the recorded response.
 	BodyDropped bool
 }
--- a/internal/claim/apply_test.go
+++ b/internal/claim/apply_test.go
@@ -12,8 +12,8 @@
 
 const phaseInProgress = claimv1.Phase_PHASE_IN_PROGRESS
 
-// claimIn returns the claim of attempt 1 in a phase, nil for none.
-func claimIn(phase claimv1.Phase) *claimv1.Record {
+// recordInPhase returns the record of attempt 1 in the given phase; nil for none.
+func recordInPhase(phase claimv1.Phase) *claimv1.Record {
 	if phase == 0 {
 		return nil
 	}
@@ -46,18 +46,18 @@
 	}{
 		{"new", 0, 2, modelContent, false, Run, "", phaseInProgress},
 		{"same attempt again", phaseInProgress, 1, modelContent, false, Run, "", phaseInProgress},
-		{"repeat meanwhile", phaseInProgress, 2, modelContent, false, InProgress, "", phaseInProgress},
-		{"repeat after its node died", phaseInProgress, 2, modelContent, true, Unknown, "", phaseUnknown},
-		{"repeat of a recorded", phaseRecorded, 2, modelContent, true, Recorded, "", phaseRecorded},
-		{"repeat of an unknown", phaseUnknown, 2, modelContent, true, Unknown, "", phaseUnknown},
-		{"repeat of a released", phaseReleased, 2, modelContent, false, Run, "", phaseInProgress},
-		{"late copy of a released attempt", phaseReleased, 1, modelContent, false, 0, refusal.ClaimStoreDown, phaseReleased},
-		{"other content meanwhile", phaseInProgress, 2, other, false, 0, refusal.IdempotencyReuse, phaseInProgress},
+		{"repeat while in progress", phaseInProgress, 2, modelContent, false, InProgress, "", phaseInProgress},
+		{"repeat after the owner's node died", phaseInProgress, 2, modelContent, true, Unknown, "", phaseUnknown},
+		{"repeat of a recorded claim", phaseRecorded, 2, modelContent, true, Recorded, "", phaseRecorded},
+		{"repeat of an unknown claim", phaseUnknown, 2, modelContent, true, Unknown, "", phaseUnknown},
+		{"repeat of a released claim", phaseReleased, 2, modelContent, false, Run, "", phaseInProgress},
+		{"delayed duplicate of a released attempt", phaseReleased, 1, modelContent, false, 0, refusal.ClaimStoreDown, phaseReleased},
+		{"other content while in progress", phaseInProgress, 2, other, false, 0, refusal.IdempotencyReuse, phaseInProgress},
 		{"other content after the record", phaseRecorded, 2, other, false, 0, refusal.IdempotencyReuse, phaseRecorded},
 		{"other content after a release", phaseReleased, 2, other, false, Run, "", phaseInProgress},
 	}
 	for _, test := range cases {
-		after, decision := Apply(claimIn(test.phase), beginOf(test.attempt, test.content, test.gone))
+		after, decision := Apply(recordInPhase(test.phase), beginOf(test.attempt, test.content, test.gone))
 		if decision.Verdict != test.verdict || decision.Refused != test.refused || after.GetPhase() != test.after {
 			t.Errorf("%s: got %+v and %v", test.name, decision, after.GetPhase())
 		}
@@ -74,11 +74,11 @@
 	}{
 		{"record", phaseInProgress, 1, phaseRecorded, phaseRecorded},
 		{"release", phaseInProgress, 1, phaseReleased, phaseReleased},
-		{"give up", phaseInProgress, 1, phaseUnknown, phaseUnknown},
-		{"record what was taken for lost", phaseUnknown, 1, phaseRecorded, phaseRecorded},
-		{"release what was told unknown", phaseUnknown, 1, phaseReleased, phaseUnknown},
-		{"release what is recorded", phaseRecorded, 1, phaseReleased, phaseRecorded},
-		{"record what is released", phaseReleased, 1, phaseRecorded, phaseReleased},
+		{"mark unknown", phaseInProgress, 1, phaseUnknown, phaseUnknown},
+		{"record an unknown claim", phaseUnknown, 1, phaseRecorded, phaseRecorded},
+		{"release an unknown claim", phaseUnknown, 1, phaseReleased, phaseUnknown},
+		{"release a recorded claim", phaseRecorded, 1, phaseReleased, phaseRecorded},
+		{"record a released claim", phaseReleased, 1, phaseRecorded, phaseReleased},
 		{"another attempt records", phaseInProgress, 2, phaseRecorded, phaseInProgress},
 		{"another attempt releases", phaseInProgress, 2, phaseReleased, phaseInProgress},
 		{"release before the claim", 0, 1, phaseReleased, phaseReleased},
@@ -86,22 +86,21 @@
 	}
 	for _, test := range cases {
 		command := FinishCommand{Key: modelKey, Attempt: attemptNumber(test.attempt), Phase: test.finish, Now: modelNow}
-		after, _ := Apply(claimIn(test.before), command)
+		after, _ := Apply(recordInPhase(test.before), command)
 		if after.GetPhase() != test.after {
 			t.Errorf("%s: got %v, want %v", test.name, after.GetPhase(), test.after)
 		}
 	}
 }
 
-// TestReleaseBeforeItsClaim lets the release of an attempt that was given up
-// overtake its claim.
+// A release may arrive before its claim; the delayed claim must not run.
 func TestReleaseBeforeItsClaim(t *testing.T) {
-	b := newRingBench(t, benchPolicy())
+	b := newRingHarness(t, smallPolicy())
 	b.finish(keyNumber(1), attemptNumber(1), phaseReleased, nil)
 	b.write()
 	b.now = b.now.Add(time.Second)
 	if got := b.begin(keyNumber(1), attemptNumber(1), ""); got.Refused != refusal.ClaimStoreDown {
-		t.Errorf("the late copy got %+v", got)
+		t.Errorf("the delayed duplicate got %+v", got)
 	}
 	if got := b.begin(keyNumber(1), attemptNumber(2), ""); got.Verdict != Run {
 		t.Errorf("the repeat got %+v", got)
--- a/internal/claim/begin.go
+++ b/internal/claim/begin.go
@@ -10,46 +10,46 @@
 	"galenatrestle/internal/refusal"
 )
 
-// BeginCommand claims a call for one attempt. It is idempotent by Attempt.
+// BeginCommand claims a call for one attempt. It is idempotent per Attempt.
 type BeginCommand struct {
 	Key             Key
 	CallFingerprint Fingerprint
 	Attempt         uuid.UUID
-	// Node and Boot name the process that will send the call.
+	// Node and Boot identify the process that will send the call.
 	Node string
 	Boot uuid.UUID
 	Now  time.Time
-	// RefuseNew is why no new claim may be made; empty where one may.
+	// RefuseNew is the reason to refuse a new claim; empty if new claims are allowed.
 	RefuseNew refusal.Reason
-	// ProcessEnded says whether a process is known to be gone.
+	// ProcessEnded reports whether a process is known to have ended.
 	ProcessEnded func(node string, boot uuid.UUID) bool
 }
 
 func (c BeginCommand) apply(state *claimv1.Record) (*claimv1.Record, Decision) {
 	switch state.GetPhase() {
 	case claimv1.Phase_PHASE_UNSPECIFIED:
-		return c.claim(state)
+		return c.newClaim(state)
 	case claimv1.Phase_PHASE_RELEASED:
 		if c.owns(state) {
-			// A late copy of an attempt that was given up.
+			// A delayed duplicate of an abandoned attempt.
 			return state, Decision{Refused: refusal.ClaimStoreDown}
 		}
-		return c.claim(state)
+		return c.newClaim(state)
 	}
 	if !c.CallFingerprint.matches(state.GetFingerprint()) {
 		return state, Decision{Refused: refusal.IdempotencyReuse}
 	}
 	switch state.GetPhase() {
 	case claimv1.Phase_PHASE_IN_PROGRESS:
-		return c.meet(state)
+		return c.decideInProgress(state)
 	case claimv1.Phase_PHASE_RECORDED:
 		return state, Decision{Verdict: Recorded, Answer: state.GetAnswer()}
 	}
 	return state, Decision{Verdict: Unknown}
 }
 
-// claim makes the claim unless that is refused.
-func (c BeginCommand) claim(state *claimv1.Record) (*claimv1.Record, Decision) {
+// newClaim creates the claim unless new claims are refused.
+func (c BeginCommand) newClaim(state *claimv1.Record) (*claimv1.Record, Decision) {
 	if c.RefuseNew != "" {
 		return state, Decision{Refused: c.RefuseNew}
 	}
@@ -65,23 +65,22 @@
 	return next, Decision{Verdict: Run}
 }
 
-// meet answers for a claim that is in progress.
-func (c BeginCommand) meet(state *claimv1.Record) (*claimv1.Record, Decision) {
+func (c BeginCommand) decideInProgress(state *claimv1.Record) (*claimv1.Record, Decision) {
 	if c.owns(state) {
 		return state, Decision{Verdict: Run}
 	}
 	if !c.ProcessEnded(state.GetNode(), uuidFromBytes(state.GetBoot())) {
 		return state, Decision{Verdict: InProgress}
 	}
-	return ended(state, claimv1.Phase_PHASE_UNKNOWN, nil, c.Now), Decision{Verdict: Unknown}
+	return endedRecord(state, claimv1.Phase_PHASE_UNKNOWN, nil, c.Now), Decision{Verdict: Unknown}
 }
 
 func (c BeginCommand) owns(state *claimv1.Record) bool {
 	return bytes.Equal(state.GetAttempt(), c.Attempt[:])
 }
 
-// ended returns the state after the claim's end.
-func ended(state *claimv1.Record, phase claimv1.Phase, answer *claimv1.Answer, now time.Time) *claimv1.Record {
+// endedRecord returns the record of a claim that ended in the given phase.
+func endedRecord(state *claimv1.Record, phase claimv1.Phase, answer *claimv1.Answer, now time.Time) *claimv1.Record {
 	return &claimv1.Record{
 		Key:         state.GetKey(),
 		Phase:       phase,
--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/google/uuid"
 )
 
-// The load of BenchmarkLedger: calls arrive openly, each is claimed and its
-// answer recorded at once.
+// The load of BenchmarkLedger: an open-loop arrival of calls, each claimed and recorded
+// immediately.
 const (
 	benchRate    = 2_000
 	benchTick    = 5 * time.Millisecond
@@ -29,7 +29,6 @@
 	Body:   []byte(fmt.Sprintf("%0256d", 1)),
 }
 
-// ledgerLoad is what one run of the load measured.
 type ledgerLoad struct {
 	mu       sync.Mutex
 	begins   []time.Duration
@@ -37,7 +36,7 @@
 	refused  int
 }
 
-func (l *ledgerLoad) one(ctx context.Context, node *testNode, number int) {
+func (l *ledgerLoad) oneCall(ctx context.Context, node *testNode, number int) {
 	key := Key{Workspace: "workspace-7", Upstream: "member-ledger", IdempotencyKey: fmt.Sprintf("claim-%08d", number)}
 	start := time.Now()
 	grant, err := node.Begin(ctx, key, Fingerprint{})
@@ -55,7 +54,6 @@
 	l.finishes = append(l.finishes, time.Since(begun))
 }
 
-// run sends the load for a time.
 func (l *ledgerLoad) run(ctx context.Context, nodes []*testNode, rate, first int, duration time.Duration) {
 	var group sync.WaitGroup
 	sent := first
@@ -66,7 +64,7 @@
 		due := first + int(time.Duration(tick+1)*time.Duration(rate)*benchTick/time.Second)
 		for ; sent < due; sent++ {
 			number := sent
-			group.Go(func() { l.one(ctx, nodes[number%len(nodes)], number) })
+			group.Go(func() { l.oneCall(ctx, nodes[number%len(nodes)], number) })
 		}
 	}
 	group.Wait()
@@ -77,9 +75,9 @@
 	return durations[int(q*float64(len(durations)-1))].Seconds() * 1e3
 }
 
-// BenchmarkLedger measures claims at 2,000 a second with a platform that
-// answers in 3 ms and 1 ms one way between nodes: platform writes, their bytes
-// and the added latency, by number of shards and by way of keeping them.
+// BenchmarkLedger measures platform writes, their size and the added latency at 2,000
+// claims per second for several shard and segment sizes, and with and without batching
+// at several rates. The platform responds in 3 ms; a message between nodes takes 1 ms.
 func BenchmarkLedger(b *testing.B) {
 	ways := []struct {
 		name                     string
@@ -154,8 +152,8 @@
 	b.ReportMetric(quantile(load.finishes, 0.99), "finish-p99-ms")
 }
 
-// BenchmarkRetained measures what a retained claim costs: memory in the holder,
-// bytes in the platform, and the time to take a shard over.
+// BenchmarkRetained measures the cost of a retained claim: memory of the holder, bytes
+// in the platform, and recovery time.
 func BenchmarkRetained(b *testing.B) {
 	const claims = 20_000
 	for _, body := range []int{0, 256} {
@@ -170,7 +168,7 @@
 }
 
 func measureRetained(b *testing.B, policy Policy, claims int, body []byte) {
-	bench := newRingBench(b, policy)
+	bench := newRingHarness(b, policy)
 	for n := range claims {
 		bench.begin(keyNumber(n), attemptNumber(n), "")
 		if n%10 == 9 {
@@ -208,12 +206,11 @@
 	return int64(stats.HeapAlloc)
 }
 
-// BenchmarkRing measures the processor time of one claim begun and finished in
-// the holder, in batches of ten, without the platform's.
+// BenchmarkRing measures beginning and finishing one claim in memory, in batches of ten.
 func BenchmarkRing(b *testing.B) {
 	policy := DefaultPolicy()
 	policy.Segments = 1 << 16
-	bench := newRingBench(b, policy)
+	bench := newRingHarness(b, policy)
 	body := make([]byte, 256)
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
--- a/internal/claim/boots.go
+++ b/internal/claim/boots.go
@@ -10,23 +10,23 @@
 	"galenatrestle/internal/membership"
 )
 
-// boots knows the newest process seen of each node. Boot ids are ordered by
-// time, so that a late message of an old process changes nothing. It is soft
-// state, bounded by the number of nodes: being wrong turns a claim in progress
-// into an unknown one, which its owner's outcome corrects.
-type boots struct {
+// bootTracker tracks the newest process observed on each node, by boot ID. Boot IDs are
+// time-ordered, so a delayed message from an older process has no effect. The state is
+// bounded by the number of nodes and may be lost or wrong: a process wrongly considered
+// ended only turns an in-progress claim into an unknown one, which the outcome from its
+// owner corrects.
+type bootTracker struct {
 	view membership.View
 
 	mu     sync.Mutex
 	newest map[string]uuid.UUID
 }
 
-func newBoots(view membership.View) *boots {
-	return &boots{view: view, newest: make(map[string]uuid.UUID)}
+func newBootTracker(view membership.View) *bootTracker {
+	return &bootTracker{view: view, newest: make(map[string]uuid.UUID)}
 }
 
-// seen notes a process of the node.
-func (b *boots) seen(node string, boot uuid.UUID) {
+func (b *bootTracker) observe(node string, boot uuid.UUID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := b.newest[node]
@@ -35,8 +35,8 @@
 	}
 }
 
-// gone says whether the process is known to have ended.
-func (b *boots) gone(node string, boot uuid.UUID) bool {
+// processEnded reports whether the process is known to have ended.
+func (b *bootTracker) processEnded(node string, boot uuid.UUID) bool {
 	b.mu.Lock()
 	newest := b.newest[node]
 	b.mu.Unlock()
@@ -45,22 +45,23 @@
 	}
 	name, region, _ := strings.Cut(node, nameSeparator)
 	if region != "" && region != b.view.Self().Region {
-		// The members of other regions are not known here.
+		// The view does not include members of other regions.
 		return false
 	}
-	_, live := memberNamed(b.view, name)
+	_, live := findMember(b.view, name)
 	return !live
 }
 
-// processNode names the node in a claim, with its region where it has one.
-func processNode(self membership.Member) string {
+// claimNodeName returns the node name stored in claims: the member's name, followed by
+// its region if it has one.
+func claimNodeName(self membership.Member) string {
 	if self.Region == "" {
 		return self.Name
 	}
 	return self.Name + nameSeparator + self.Region
 }
 
-func memberNamed(view membership.View, name string) (membership.Member, bool) {
+func findMember(view membership.View, name string) (membership.Member, bool) {
 	if self := view.Self(); self.Name == name {
 		return self, true
 	}
--- a/internal/claim/claimrpc/claimrpc_test.go
+++ b/internal/claim/claimrpc/claimrpc_test.go
@@ -18,7 +18,7 @@
 	"galenatrestle/internal/refusal"
 )
 
-// holder answers as told and keeps what it was asked.
+// holder is a fake Server that returns preset replies and records its requests.
 type holder struct {
 	begun    claim.BeginRequest
 	finished claim.FinishRequest
@@ -37,7 +37,7 @@
 	return h.finish, h.err
 }
 
-// serve returns the address of a peer listener on loopback.
+// serve starts a server on loopback and returns its address.
 func serve(t *testing.T, h *holder) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestErrorsStayErrors(t *testing.T) {
+func TestServerErrorsAreUnavailable(t *testing.T) {
 	address := serve(t, &holder{err: errors.New("uncertain")})
 	_, err := NewClient("http", nil).Begin(t.Context(), address, claim.BeginRequest{Key: key})
 	if connect.CodeOf(err) != connect.CodeUnavailable {
--- a/internal/claim/claimrpc/client.go
+++ b/internal/claim/claimrpc/client.go
@@ -19,14 +19,14 @@
 	http   connect.HTTPClient
 
 	mu sync.Mutex
-	// byAddress holds one client an address, bounded by the nodes there were.
+	// byAddress caches one client per address. Entries are never removed.
 	byAddress map[string]claimv1connect.ClaimServiceClient
 }
 
 var _ claim.Peers = (*Client)(nil)
 
-// NewClient returns a client that calls over the given HTTP client, with
-// scheme "http" or "https".
+// NewClient returns a client that uses the given HTTP client, with scheme "http" or
+// "https".
 func NewClient(scheme string, httpClient connect.HTTPClient) *Client {
 	if httpClient == nil {
 		httpClient = http.DefaultClient
@@ -44,7 +44,7 @@
 		Boot:        request.Boot[:],
 		KnownOnly:   request.KnownOnly,
 	}
-	response, err := c.at(address).Begin(ctx, connect.NewRequest(message))
+	response, err := c.clientFor(address).Begin(ctx, connect.NewRequest(message))
 	if err != nil {
 		return claim.BeginReply{}, err
 	}
@@ -68,7 +68,7 @@
 		Phase:   request.Phase,
 		Answer:  request.Answer,
 	}
-	response, err := c.at(address).Finish(ctx, connect.NewRequest(message))
+	response, err := c.clientFor(address).Finish(ctx, connect.NewRequest(message))
 	if err != nil {
 		return claim.FinishReply{}, err
 	}
@@ -78,7 +78,7 @@
 	}, nil
 }
 
-func (c *Client) at(address string) claimv1connect.ClaimServiceClient {
+func (c *Client) clientFor(address string) claimv1connect.ClaimServiceClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	client, known := c.byAddress[address]
--- a/internal/claim/claimrpc/doc.go
+++ b/internal/claim/claimrpc/doc.go
@@ -1,4 +1,4 @@
-// Package claimrpc carries claims between nodes over connect-go: a client that
-// forwards to a shard's holder, and the handler that the holder serves. It
-// holds no state; in a platform outage it goes on forwarding.
+// Package claimrpc transports claims between nodes over connect-go: a client that
+// forwards requests to a shard's holder, and the handler that serves them. It keeps no
+// claims and does not use the platform, so forwarding continues in a platform outage.
 package claimrpc
--- a/internal/claim/claimrpc/handler.go
+++ b/internal/claim/claimrpc/handler.go
@@ -13,19 +13,18 @@
 	"galenatrestle/internal/gen/trestle/claim/v1/claimv1connect"
 )
 
-// Server answers forwarded claims; *claim.Node is one.
+// Server handles forwarded claims. It is implemented by *claim.Node.
 type Server interface {
 	ServeBegin(ctx context.Context, request claim.BeginRequest) (claim.BeginReply, error)
 	ServeFinish(ctx context.Context, request claim.FinishRequest) (claim.FinishReply, error)
 }
 
-// NewHandler returns the path and the handler to serve on the peer listener.
+// NewHandler returns the path and the handler to register on the peer listener.
 func NewHandler(server Server, options ...connect.HandlerOption) (string, http.Handler) {
 	return claimv1connect.NewClaimServiceHandler(&handler{server: server}, options...)
 }
 
-// errMalformed refuses a message whose ids have the wrong length.
-var errMalformed = errors.New("claimrpc: malformed id or fingerprint")
+var errMalformed = errors.New("claimrpc: malformed ID or fingerprint")
 
 type handler struct{ server Server }
 
--- a/internal/claim/convert.go
+++ b/internal/claim/convert.go
@@ -11,17 +11,17 @@
 	claimv1 "galenatrestle/internal/gen/trestle/claim/v1"
 )
 
-// KeyToProto converts the key.
+// KeyToProto converts a key to its protobuf message.
 func KeyToProto(key Key) *claimv1.Key {
 	return &claimv1.Key{Workspace: key.Workspace, Upstream: key.Upstream, IdempotencyKey: key.IdempotencyKey}
 }
 
-// KeyFromProto converts the key.
+// KeyFromProto converts a protobuf message to a key.
 func KeyFromProto(key *claimv1.Key) Key {
 	return Key{Workspace: key.GetWorkspace(), Upstream: key.GetUpstream(), IdempotencyKey: key.GetIdempotencyKey()}
 }
 
-// uuidFromBytes returns the zero id for bytes that are none.
+// uuidFromBytes returns uuid.Nil if raw is not a valid UUID.
 func uuidFromBytes(raw []byte) uuid.UUID {
 	id, err := uuid.FromBytes(raw)
 	if err != nil {
@@ -30,25 +30,25 @@
 	return id
 }
 
-// AnswerToProto converts the answer, with its headers in order of name.
+// AnswerToProto converts an answer to its protobuf message, with headers sorted by name.
 func AnswerToProto(answer Answer) *claimv1.Answer {
-	kept := &claimv1.Answer{Status: int32(answer.Status), Body: answer.Body, BodyDropped: answer.BodyDropped}
+	message := &claimv1.Answer{Status: int32(answer.Status), Body: answer.Body, BodyDropped: answer.BodyDropped}
 	for _, name := range slices.Sorted(maps.Keys(answer.Header)) {
-		kept.Header = append(kept.Header, &claimv1.HeaderField{Name: name, Values: answer.Header[name]})
+		message.Header = append(message.Header, &claimv1.HeaderField{Name: name, Values: answer.Header[name]})
 	}
-	return kept
+	return message
 }
 
-// boundedAnswer keeps the answer; past the bound only its status.
+// boundedAnswer converts the answer, keeping only its status if it exceeds maxBytes.
 func boundedAnswer(answer Answer, maxBytes int) *claimv1.Answer {
-	kept := AnswerToProto(answer)
-	if proto.Size(kept) <= maxBytes {
-		return kept
+	message := AnswerToProto(answer)
+	if proto.Size(message) <= maxBytes {
+		return message
 	}
-	return &claimv1.Answer{Status: kept.GetStatus(), BodyDropped: true}
+	return &claimv1.Answer{Status: message.GetStatus(), BodyDropped: true}
 }
 
-// AnswerFromProto converts the answer.
+// AnswerFromProto converts a protobuf message to an answer.
 func AnswerFromProto(answer *claimv1.Answer) Answer {
 	header := make(http.Header, len(answer.GetHeader()))
 	for _, field := range answer.GetHeader() {
--- a/internal/claim/crash_test.go
+++ b/internal/claim/crash_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-var oneKey = Key{Workspace: "bp-pubs", Upstream: "tab-api", IdempotencyKey: "tab-7"}
+var testKey = Key{Workspace: "bp-pubs", Upstream: "tab-api", IdempotencyKey: "tab-7"}
 
-// within runs the body in a bubble with three nodes, the first of which is
-// preferred, and stops them afterwards.
-func within(t *testing.T, body func(t *testing.T, c *cluster, nodes []*testNode)) {
+// withCluster runs body in a synctest bubble with three nodes, of which n1 is the
+// preferred holder.
+func withCluster(t *testing.T, body func(t *testing.T, c *cluster, nodes []*testNode)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		c.store.latency = 3 * time.Millisecond
 		nodes := []*testNode{c.start(t, "n1", nil), c.start(t, "n2", nil), c.start(t, "n3", nil)}
-		settle()
+		waitUntilSettled()
 		body(t, c, nodes)
 		for _, node := range c.nodes {
 			node.stop()
@@ -25,16 +25,16 @@
 	})
 }
 
-func (c *cluster) prefer(name string) {
+func (c *cluster) setPreferred(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.preferred = name
 }
 
-func expectTold(t *testing.T, what string, got, want told) {
+func expectResult(t *testing.T, what string, got, want callResult) {
 	t.Helper()
 	if got != want {
-		t.Errorf("%s was told %q, want %q", what, got, want)
+		t.Errorf("%s got %q, want %q", what, got, want)
 	}
 }
 
@@ -45,97 +45,95 @@
 	}
 }
 
-// TestNodeKilled kills the node of the caller at each step, where that node
-// holds the shard and where it does not, and repeats the call elsewhere.
+// TestNodeKilled kills the caller's node at each step of a call, as holder and as other
+// node, and repeats the call on a third node.
 func TestNodeKilled(t *testing.T) {
 	cases := []struct {
 		name string
 		at   step
-		want told
+		want callResult
 		runs int
 	}{
-		{"before the claim", stepBeforeClaim, toldRan, 1},
-		{"after the claim", stepAfterClaim, toldUnknown, 0},
-		{"after the send", stepAfterSend, toldUnknown, 1},
-		{"after the record", stepAfterRecord, toldRecorded, 1},
+		{"before the claim", stepBeforeClaim, resultRan, 1},
+		{"after the claim", stepAfterClaim, resultUnknown, 0},
+		{"after the send", stepAfterSend, resultUnknown, 1},
+		{"after the record", stepAfterRecord, resultRecorded, 1},
 	}
 	for _, test := range cases {
 		for number, place := range []string{"holder", "other node"} {
 			t.Run(test.name+", "+place, func(t *testing.T) {
-				within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
-					c.call(t, nodes[number], oneKey, "body", test.at)
-					c.prefer("n3")
-					settle()
-					expectTold(t, "the repeat", c.call(t, nodes[2], oneKey, "body", stepNone), test.want)
-					expectRuns(t, c, oneKey, test.runs)
+				withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+					c.call(t, nodes[number], testKey, "body", test.at)
+					c.setPreferred("n3")
+					waitUntilSettled()
+					expectResult(t, "the repeat", c.call(t, nodes[2], testKey, "body", stepNone), test.want)
+					expectRuns(t, c, testKey, test.runs)
 				})
 			})
 		}
 	}
 }
 
-// TestRepeats covers the plain verdicts.
 func TestRepeats(t *testing.T) {
-	within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
-		expectTold(t, "the first", c.call(t, nodes[1], oneKey, "body", stepNone), toldRan)
+	withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+		expectResult(t, "the first", c.call(t, nodes[1], testKey, "body", stepNone), resultRan)
 		for _, node := range nodes {
-			expectTold(t, "a repeat", c.call(t, node, oneKey, "body", stepNone), toldRecorded)
-			expectTold(t, "another body", c.call(t, node, oneKey, "other", stepNone), toldNotRun)
+			expectResult(t, "a repeat", c.call(t, node, testKey, "body", stepNone), resultRecorded)
+			expectResult(t, "another body", c.call(t, node, testKey, "other", stepNone), resultNotRun)
 		}
-		expectRuns(t, c, oneKey, 1)
+		expectRuns(t, c, testKey, 1)
 	})
 }
 
-// TestReleased lets a repeat run after a call that was proved not run, and not
-// after one that is unknown.
+// A repeat may run after a released call, but not after an unknown one.
 func TestReleased(t *testing.T) {
 	for _, test := range []struct {
 		kind OutcomeKind
-		want told
-	}{{OutcomeReleased, toldRan}, {OutcomeUnknown, toldUnknown}} {
-		within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
-			grant, err := nodes[1].Begin(t.Context(), oneKey, FingerprintOf("POST", "/claims", []byte("body")))
+		want callResult
+	}{{OutcomeReleased, resultRan}, {OutcomeUnknown, resultUnknown}} {
+		withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+			grant, err := nodes[1].Begin(t.Context(), testKey, FingerprintOf("POST", "/claims", []byte("body")))
 			if err != nil || grant.Verdict != Run {
 				t.Fatalf("begin: %v %v", grant.Verdict, err)
 			}
-			expectTold(t, "a repeat meanwhile", c.call(t, nodes[2], oneKey, "body", stepNone), toldInProgress)
+			expectResult(t, "a repeat while in progress", c.call(t, nodes[2], testKey, "body", stepNone), resultInProgress)
 			if err := nodes[1].Finish(t.Context(), grant.Token, Outcome{Kind: test.kind}); err != nil {
 				t.Fatal(err)
 			}
-			expectTold(t, "the repeat", c.call(t, nodes[2], oneKey, "body", stepNone), test.want)
+			expectResult(t, "the repeat", c.call(t, nodes[2], testKey, "body", stepNone), test.want)
 		})
 	}
 }
 
-// TestSameKeyAtThreeNodes sends the same call to all nodes at once.
+// Concurrent requests with the same key at different nodes run only once.
 func TestSameKeyAtThreeNodes(t *testing.T) {
-	within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
-		results := make(chan told)
+	withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+		results := make(chan callResult)
 		for _, node := range nodes {
-			go func() { results <- c.call(t, node, oneKey, "body", stepNone) }()
+			go func() { results <- c.call(t, node, testKey, "body", stepNone) }()
 		}
 		ran := 0
 		for range nodes {
 			switch got := <-results; got {
-			case toldRan:
+			case resultRan:
 				ran++
-			case toldInProgress, toldRecorded:
+			case resultInProgress, resultRecorded:
 			default:
-				t.Errorf("a caller was told %q", got)
+				t.Errorf("a caller got %q", got)
 			}
 		}
 		if ran != 1 {
 			t.Errorf("%d callers ran the call", ran)
 		}
-		expectRuns(t, c, oneKey, 1)
+		expectRuns(t, c, testKey, 1)
 	})
 }
 
-// TestLostAnswer loses the answer of the claim's write, after it took effect,
-// before it did, and with the write arriving late.
+// TestLostAnswer loses the response to the claim's write: after the write took effect,
+// without effect, and with a delayed effect.
 func TestLostAnswer(t *testing.T) {
 	for _, happens := range []fault{faultLost, faultDown, faultLate} {
-		within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+		withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
 			left := 1
 			c.store.setFault(func(string) fault {
 				if left == 0 {
@@ -144,18 +142,17 @@
 				left--
 				return happens
 			})
-			expectTold(t, "the caller", c.call(t, nodes[1], oneKey, "body", stepNone), toldRan)
+			expectResult(t, "the caller", c.call(t, nodes[1], testKey, "body", stepNone), resultRan)
 			c.store.deliverLate()
-			expectTold(t, "the repeat", c.call(t, nodes[2], oneKey, "body", stepNone), toldRecorded)
-			expectRuns(t, c, oneKey, 1)
+			expectResult(t, "the repeat", c.call(t, nodes[2], testKey, "body", stepNone), resultRecorded)
+			expectRuns(t, c, testKey, 1)
 		})
 	}
 }
 
-// TestHolderPaused pauses the holder with a batch in hand until another holder
-// has taken over and answered, and wakes it.
+// TestHolderPaused pauses the holder during a write until another holder has taken over.
 func TestHolderPaused(t *testing.T) {
-	within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+	withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
 		woken := make(chan struct{})
 		paused := make(chan struct{})
 		first := true
@@ -169,49 +166,49 @@
 				<-woken
 			}
 		})
-		results := make(chan told)
-		go func() { results <- c.call(t, nodes[0], oneKey, "body", stepNone) }()
+		results := make(chan callResult)
+		go func() { results <- c.call(t, nodes[0], testKey, "body", stepNone) }()
 		<-paused
-		c.lapse(false)
-		c.prefer("n2")
-		settle()
-		expectTold(t, "the repeat at the new holder", c.call(t, nodes[1], oneKey, "body", stepNone), toldRan)
+		c.expireLeases(false)
+		c.setPreferred("n2")
+		waitUntilSettled()
+		expectResult(t, "the repeat at the new holder", c.call(t, nodes[1], testKey, "body", stepNone), resultRan)
 		close(woken)
-		expectTold(t, "the caller at the paused holder", <-results, toldUnknown)
-		settle()
-		expectTold(t, "a later repeat", c.call(t, nodes[0], oneKey, "body", stepNone), toldRecorded)
-		expectRuns(t, c, oneKey, 1)
+		expectResult(t, "the caller at the paused holder", <-results, resultUnknown)
+		waitUntilSettled()
+		expectResult(t, "a later repeat", c.call(t, nodes[0], testKey, "body", stepNone), resultRecorded)
+		expectRuns(t, c, testKey, 1)
 	})
 }
 
-func holds(node *testNode) bool {
+func holdsShard(node *testNode) bool {
 	part := node.shards[0]
 	part.mu.Lock()
 	defer part.mu.Unlock()
 	return part.holding
 }
 
-// TestTwoHolders lets an old holder go on believing in its lease while a new
-// one is at work, and calls both with the same keys.
+// A holder that missed the expiry of its lease and its successor must not both run a
+// call.
 func TestTwoHolders(t *testing.T) {
-	within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
-		expectTold(t, "the first", c.call(t, nodes[0], oneKey, "body", stepNone), toldRan)
-		c.lapse(false)
-		c.prefer("n2")
-		// Shorter than the time after which a holder hands on.
+	withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+		expectResult(t, "the first", c.call(t, nodes[0], testKey, "body", stepNone), resultRan)
+		c.expireLeases(false)
+		c.setPreferred("n2")
+		// Shorter than the time after which a holder yields to the preferred one.
 		time.Sleep(3 * time.Second)
-		if !holds(nodes[0]) || !holds(nodes[1]) {
+		if !holdsShard(nodes[0]) || !holdsShard(nodes[1]) {
 			t.Fatal("there are not two holders")
 		}
-		expectTold(t, "the repeat at the new", c.call(t, nodes[1], oneKey, "body", stepNone), toldRecorded)
+		expectResult(t, "the repeat at the new holder", c.call(t, nodes[1], testKey, "body", stepNone), resultRecorded)
 		second := Key{Workspace: "w", Upstream: "u", IdempotencyKey: "second"}
-		results := make(chan told)
+		results := make(chan callResult)
 		for _, node := range nodes[:2] {
 			go func() { results <- c.call(t, node, second, "body", stepNone) }()
 		}
 		<-results
 		<-results
 		expectRuns(t, c, second, 1)
-		expectRuns(t, c, oneKey, 1)
+		expectRuns(t, c, testKey, 1)
 	})
 }
--- a/internal/claim/day_test.go
+++ b/internal/claim/day_test.go
@@ -7,14 +7,12 @@
 	"time"
 )
 
-// dayHours is longer than the retention of keys, so that the ring comes to the
-// size that it keeps.
+// dayHours exceeds the key retention, so that the ring reaches its steady size.
 const dayHours = 30
 
-// BenchmarkDay measures one shard of a ledger at a rate of claims, each with an
-// answer of 200 bytes, for longer than its retention: how full it gets, what is
-// refused, what is written, and what it takes in memory and to take over. The
-// claims of one second share a write, as do their ends.
+// BenchmarkDay measures one shard for longer than the key retention, with answers of 200
+// bytes: fill, refusals, bytes written, memory and recovery time. The claims of one
+// second share a write, as do their outcomes.
 func BenchmarkDay(b *testing.B) {
 	b.Run("default/rush", func(b *testing.B) {
 		for range b.N {
@@ -42,8 +40,8 @@
 	}
 }
 
-// rush is ten claims a second for three hours of each day and two a second on
-// its average.
+// rush returns 10 claims per second for three hours of each day, and a daily average of
+// two per second.
 func rush(second int) float64 {
 	if second%(24*3600) < 3*3600 {
 		return 10
@@ -52,7 +50,7 @@
 }
 
 func measureDay(b *testing.B, policy Policy, rate func(second int) float64) {
-	bench := newRingBench(b, policy)
+	bench := newRingHarness(b, policy)
 	due, claims, refused, writes, written, fullest := 0.0, 0, 0, 0, 0, 0
 	write := func() {
 		bench.write()
@@ -63,7 +61,7 @@
 		bench.now = bench.now.Add(time.Second)
 		first := claims
 		for due += rate(second) / float64(policy.Shards); due >= 1; due-- {
-			if bench.ring.full() {
+			if bench.ring.isFull() {
 				refused++
 				continue
 			}
@@ -73,7 +71,7 @@
 		if claims == first {
 			continue
 		}
-		bench.ring.compact = bench.ring.crowded()
+		bench.ring.compact = bench.ring.shouldCompact()
 		write()
 		for n := first; n < claims; n++ {
 			bench.finish(keyNumber(n), attemptNumber(n), phaseRecorded, make([]byte, 200))
--- a/internal/claim/decision.go
+++ b/internal/claim/decision.go
@@ -5,12 +5,12 @@
 	"galenatrestle/internal/refusal"
 )
 
-// Decision is the answer to a Command. For a Begin either Verdict or Refused is
-// set; for a Finish both are empty.
+// Decision is the result of a Command. For a Begin, either Verdict or Refused is set;
+// for a Finish, both are empty.
 type Decision struct {
 	Verdict Verdict
-	// Answer is set for Recorded only.
+	// Answer is set only for Recorded.
 	Answer *claimv1.Answer
-	// Refused is why nothing was claimed; the attempt was not run.
+	// Refused is the reason why no claim was made; the attempt must not run.
 	Refused refusal.Reason
 }
--- a/internal/claim/doc.go
+++ b/internal/claim/doc.go
@@ -1,19 +1,19 @@
-// Package claim makes calls that may not be repeated run at most once: claim,
-// then call, then record.
+// Package claim runs calls that must not be repeated at most once: it claims a call
+// before it is sent and records its outcome afterwards.
 //
-// A claim is keyed by workspace, upstream and idempotency key. It is durable in
-// the platform's service before Begin answers Run, and from then on every
-// repeat, at any node, gets the recorded answer, in progress or unknown.
+// A claim is keyed by workspace, upstream and idempotency key. It is durable in the
+// platform's store before Begin returns Run. After that, every repeat on any node gets
+// the recorded answer, in progress or unknown.
 //
-// It is hard state. Claims are spread over shards by a hash of the key. A shard
-// is a ring of segments, each one key of the platform; at any moment exactly
-// one segment may be written, and every write is one compare-and-swap on it, so
-// that a holder that has been superseded is refused by the write itself. The
-// holder of a shard is chosen by a lease, which only saves work: safety does
-// not rest on it. The bound is Shards x Segments x SegmentBytes in the platform
-// and the same records in the holders' memory.
+// Claims are distributed over shards by a hash of the key. A shard is a ring of
+// segments, each stored under one platform key. Only the newest segment may be written,
+// and every write is a compare-and-swap on it, so a superseded holder's writes fail. A
+// lease selects the holder of a shard. The lease avoids conflicting writes, but safety
+// does not depend on it. Storage in the platform is bounded by Shards x Segments x
+// SegmentBytes; the holders keep the same records in memory.
 //
-// In a platform outage nothing new is claimed: Begin refuses with outcome
-// not-run where the shard's holder knows that the key never ran, else unknown. Verdicts that are already durable and known to the holder are still
-// answered, and finished calls are recorded when the platform is back.
+// In a platform outage no new claims are made: Begin refuses with outcome not-run if the
+// shard's holder knows that the key never ran, otherwise unknown. Durable verdicts known
+// to the holder are still returned, and finished calls are recorded when the platform is
+// available again.
 package claim
--- a/internal/claim/errors.go
+++ b/internal/claim/errors.go
@@ -3,13 +3,13 @@
 import "errors"
 
 var (
-	// errNotHolder says that this node does not hold the shard.
+	// errNotHolder means that this node does not hold the shard.
 	errNotHolder = errors.New("claim: not the shard's holder")
-	// errSuperseded says that another holder has taken the shard over.
+	// errSuperseded means that another holder has taken over the shard.
 	errSuperseded = errors.New("claim: superseded by another holder")
-	// errStuck says that the platform does not answer while another attempt's
-	// change waits for it.
-	errStuck = errors.New("claim: another attempt's change waits for the platform")
-	// errUncertain says that a change may or may not have become durable.
-	errUncertain = errors.New("claim: not known whether the change is durable")
+	// errStuck means that the platform does not respond while a change by another
+	// attempt waits to be written.
+	errStuck = errors.New("claim: the platform does not respond; a change by another attempt is pending")
+	// errUncertain means that a change may or may not have become durable.
+	errUncertain = errors.New("claim: unknown whether the change is durable")
 )
--- a/internal/claim/expire.go
+++ b/internal/claim/expire.go
@@ -6,15 +6,15 @@
 	claimv1 "galenatrestle/internal/gen/trestle/claim/v1"
 )
 
-// expire returns the state as it stands at now: nil once it is forgotten, the
-// same pointer where nothing changed. A claim in progress is never forgotten:
-// past its limit it is unknown.
+// expire returns the state as of now: nil if its retention has expired, the same pointer
+// if nothing changed. An in-progress claim is never dropped; past its limit it becomes
+// unknown.
 func expire(state *claimv1.Record, now time.Time, policy Policy) *claimv1.Record {
 	age := now.Sub(time.UnixMilli(state.GetChangedMs()))
 	switch state.GetPhase() {
 	case claimv1.Phase_PHASE_IN_PROGRESS:
 		if age > policy.InProgressLimit {
-			return ended(state, claimv1.Phase_PHASE_UNKNOWN, nil, now)
+			return endedRecord(state, claimv1.Phase_PHASE_UNKNOWN, nil, now)
 		}
 	case claimv1.Phase_PHASE_RELEASED:
 		if age > policy.InProgressLimit {
@@ -35,11 +35,11 @@
 	return state
 }
 
-// withoutBody returns the state with its answer's body and headers dropped.
+// withoutBody returns the state without the body and headers of its answer.
 func withoutBody(state *claimv1.Record) *claimv1.Record {
 	if state.GetAnswer().GetBodyDropped() {
 		return state
 	}
 	answer := &claimv1.Answer{Status: state.GetAnswer().GetStatus(), BodyDropped: true}
-	return ended(state, state.GetPhase(), answer, time.UnixMilli(state.GetChangedMs()))
+	return endedRecord(state, state.GetPhase(), answer, time.UnixMilli(state.GetChangedMs()))
 }
--- a/internal/claim/fakecall_test.go
+++ b/internal/claim/fakecall_test.go
@@ -9,8 +9,8 @@
 	"galenatrestle/internal/refusal"
 )
 
-// send is the upstream's list of calls; a dead node sends nothing.
-func (c *cluster) send(node *testNode, key Key) {
+// recordSend counts a call received by the upstream; a dead node sends nothing.
+func (c *cluster) recordSend(node *testNode, key Key) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !node.dead {
@@ -24,18 +24,18 @@
 	return c.sent[key]
 }
 
-// told is what the caller of a call was told, or nothing where its node died.
-type told string
+// callResult is the result returned to the caller of a call; empty if its node died.
+type callResult string
 
 const (
-	toldRan        told = "ran"
-	toldRecorded   told = "recorded"
-	toldInProgress told = "in progress"
-	toldUnknown    told = "unknown"
-	toldNotRun     told = "not-run"
+	resultRan        callResult = "ran"
+	resultRecorded   callResult = "recorded"
+	resultInProgress callResult = "in progress"
+	resultUnknown    callResult = "unknown"
+	resultNotRun     callResult = "not-run"
 )
 
-// step is a point in a call at which its node may be killed.
+// step is a point in a call at which a fault may be injected.
 type step int
 
 const (
@@ -46,9 +46,9 @@
 	stepAfterRecord
 )
 
-// call does what the gateway does with one unrepeatable call, and kills the
-// node at the step.
-func (c *cluster) call(t testing.TB, node *testNode, key Key, body string, killAt step) told {
+// call makes one unrepeatable call as the gateway does, and kills the node at the given
+// step.
+func (c *cluster) call(t testing.TB, node *testNode, key Key, body string, killAt step) callResult {
 	t.Helper()
 	killed := func(at step) bool {
 		if at == killAt {
@@ -65,49 +65,49 @@
 		return ""
 	}
 	if err != nil {
-		return c.refusedCall(t, key, runsBefore, refusal.From(err))
+		return c.checkRefusal(t, key, runsBefore, refusal.From(err))
 	}
 	switch grant.Verdict {
 	case Recorded:
 		if string(grant.Answer.Body) != answerTo(body) {
 			t.Errorf("recorded answer %q for body %q", grant.Answer.Body, body)
 		}
-		return toldRecorded
+		return resultRecorded
 	case InProgress:
-		return toldInProgress
+		return resultInProgress
 	case Unknown:
-		return toldUnknown
+		return resultUnknown
 	}
 	return c.runCall(t, node, grant, body, killed)
 }
 
-// refusedCall checks a refusal: not-run is told only where no earlier request
-// of the key had run, except of another content.
-func (c *cluster) refusedCall(t testing.TB, key Key, runsBefore int, refused *refusal.Error) told {
+// checkRefusal checks that not-run is returned only if no earlier request with the key
+// has run, except with different content.
+func (c *cluster) checkRefusal(t testing.TB, key Key, runsBefore int, refused *refusal.Error) callResult {
 	t.Helper()
 	if refused.Outcome == refusal.Unknown && refused.Reason == refusal.ClaimStoreDown {
-		return toldUnknown
+		return resultUnknown
 	}
 	if refused.Outcome != refusal.NotRun {
 		t.Errorf("refusal %v has outcome %s", refused, refused.Outcome)
 	}
 	if runsBefore > 0 && refused.Reason != refusal.IdempotencyReuse {
-		t.Errorf("%v had run, yet a repeat was told not-run: %v", key, refused)
+		t.Errorf("%v had run, but a repeat got not-run: %v", key, refused)
 	}
-	return toldNotRun
+	return resultNotRun
 }
 
-// runCall sends a claimed call and records how it ended.
-func (c *cluster) runCall(t testing.TB, node *testNode, grant BeginResult, body string, killed func(step) bool) told {
-	ends := OutcomeRecorded
-	if c.ends != nil {
-		ends = c.ends()
+// runCall sends a claimed call and records its outcome.
+func (c *cluster) runCall(t testing.TB, node *testNode, grant BeginResult, body string, killed func(step) bool) callResult {
+	outcome := OutcomeRecorded
+	if c.nextOutcome != nil {
+		outcome = c.nextOutcome()
 	}
 	if runs := c.runs(grant.Token.Key); runs > 0 {
-		t.Errorf("%v has run %d times, yet may run", grant.Token.Key, runs)
+		t.Errorf("%v has run %d times, but a new claim got Run", grant.Token.Key, runs)
 	}
-	if ends != OutcomeReleased {
-		c.send(node, grant.Token.Key)
+	if outcome != OutcomeReleased {
+		c.recordSend(node, grant.Token.Key)
 	}
 	if killed(stepAfterSend) {
 		return ""
@@ -115,11 +115,11 @@
 	answer := Answer{Status: 201, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte(answerTo(body))}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	_ = node.Finish(ctx, grant.Token, Outcome{Kind: ends, Answer: answer})
+	_ = node.Finish(ctx, grant.Token, Outcome{Kind: outcome, Answer: answer})
 	if killed(stepAfterRecord) {
 		return ""
 	}
-	return map[OutcomeKind]told{OutcomeRecorded: toldRan, OutcomeReleased: toldNotRun, OutcomeUnknown: toldUnknown}[ends]
+	return map[OutcomeKind]callResult{OutcomeRecorded: resultRan, OutcomeReleased: resultNotRun, OutcomeUnknown: resultUnknown}[outcome]
 }
 
 func answerTo(body string) string { return "answer to " + body }
--- a/internal/claim/fakecluster_test.go
+++ b/internal/claim/fakecluster_test.go
@@ -15,13 +15,14 @@
 	"galenatrestle/internal/platform"
 )
 
-// fakeLeases grants leases that end only when the test lapses them.
+// fakeLeases grants leases that end only on release, on expireLeases, or with their
+// node.
 type fakeLeases struct {
 	cluster *cluster
 	node    *testNode
 }
 
-type fakeTenure struct {
+type fakeTerm struct {
 	leases *fakeLeases
 	name   string
 	epoch  int64
@@ -29,20 +30,20 @@
 	once   sync.Once
 }
 
-func (t *fakeTenure) Epoch() int64          { return t.epoch }
-func (t *fakeTenure) Done() <-chan struct{} { return t.done }
+func (t *fakeTerm) Epoch() int64          { return t.epoch }
+func (t *fakeTerm) Done() <-chan struct{} { return t.done }
 
-// Held implements Term: a holder's clock is right also where it was paused.
-func (t *fakeTenure) Held(time.Time) bool {
+// Held implements Term. It is exact even if the holder was paused.
+func (t *fakeTerm) Held(time.Time) bool {
 	c := t.leases.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.terms[t.name] == t
 }
 
-func (t *fakeTenure) stop() { t.once.Do(func() { close(t.done) }) }
+func (t *fakeTerm) stop() { t.once.Do(func() { close(t.done) }) }
 
-func (t *fakeTenure) Release(context.Context) error {
+func (t *fakeTerm) Release(context.Context) error {
 	t.stop()
 	c := t.leases.cluster
 	c.mu.Lock()
@@ -67,13 +68,14 @@
 		return nil, &platform.HeldError{Current: platform.Lease{Name: name, Holder: HolderName(current.leases.node.name, "run-1", current.leases.node.name), Epoch: current.epoch}}
 	}
 	c.epochs[name]++
-	term := &fakeTenure{leases: l, name: name, epoch: c.epochs[name], done: make(chan struct{})}
+	term := &fakeTerm{leases: l, name: name, epoch: c.epochs[name], done: make(chan struct{})}
 	c.terms[name] = term
 	l.node.terms = append(l.node.terms, term)
 	return term, nil
 }
 
-// nodeStore is the platform as one node reaches it: not at all once it is dead.
+// nodeStore is the platform as seen by one node; it is unreachable once the node is
+// dead.
 type nodeStore struct {
 	*fakeStore
 	cluster *cluster
@@ -93,39 +95,39 @@
 	return node.dead
 }
 
-// lapse ends all leases at the platform. Their holders hear of it only where
-// told says so: else they are paused and believe they hold them.
-func (c *cluster) lapse(told bool) {
+// expireLeases ends all leases on the platform. If notify is false, the holders still
+// consider themselves holders, as after a pause.
+func (c *cluster) expireLeases(notify bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, term := range c.terms {
 		delete(c.terms, name)
-		if told {
+		if notify {
 			term.stop()
 		}
 	}
 }
 
-// cluster is a few nodes on one platform, and the list of calls sent.
+// cluster is a set of nodes on one platform. It counts the calls sent.
 type cluster struct {
 	store *fakeStore
 
 	mu     sync.Mutex
-	terms  map[string]*fakeTenure
+	terms  map[string]*fakeTerm
 	epochs map[string]int64
 	nodes  map[string]*testNode
 	sent   map[Key]int
-	// preferred is the node that every view names as owner.
+	// preferred is the node returned as owner by every view.
 	preferred string
-	// cut, where it returns true, breaks a forwarded call before or after it
-	// was served.
+	// cutBefore and cutAfter, if set, return true to break a forwarded call before or
+	// after it is served.
 	cutBefore, cutAfter func() bool
-	// oneWay is the time that a message between nodes takes.
+	// oneWay is the latency of a message between nodes.
 	oneWay time.Duration
-	// ends, where set, says how the next call that is run ends.
-	ends func() OutcomeKind
-	// regions, where set, is the region of each node; preferredIn is then the
-	// owner that the views of a region name. Nodes know their region's alone.
+	// nextOutcome, if set, returns the outcome of the next call that runs.
+	nextOutcome func() OutcomeKind
+	// regions, if set, maps each node to its region; preferredIn is then the owner per
+	// region. Views include only members of their own region.
 	regions     map[string]string
 	preferredIn map[string]string
 }
@@ -136,18 +138,17 @@
 	stop context.CancelFunc
 	done chan struct{}
 	dead bool
-	// terms are all that were granted to it.
-	terms []*fakeTenure
+	// terms are all terms granted to the node.
+	terms []*fakeTerm
 }
 
 func newCluster() *cluster {
 	return &cluster{
-		store: newFakeStore(), terms: make(map[string]*fakeTenure), epochs: make(map[string]int64),
+		store: newFakeStore(), terms: make(map[string]*fakeTerm), epochs: make(map[string]int64),
 		nodes: make(map[string]*testNode), sent: make(map[Key]int), preferred: "n1",
 	}
 }
 
-// fakeView is one node's picture.
 type fakeView struct {
 	cluster *cluster
 	self    string
@@ -186,12 +187,11 @@
 	return member(v.cluster.preferred)
 }
 
-// fakePeers calls the other nodes of the cluster.
 type fakePeers struct{ cluster *cluster }
 
 var errCut = errors.New("connection cut")
 
-func (p fakePeers) at(address string) (*testNode, error) {
+func (p fakePeers) reach(address string) (*testNode, error) {
 	time.Sleep(p.cluster.oneWay)
 	p.cluster.mu.Lock()
 	defer p.cluster.mu.Unlock()
@@ -202,7 +202,7 @@
 	return node, nil
 }
 
-func (p fakePeers) answered(node *testNode, err error) error {
+func (p fakePeers) deliverReply(node *testNode, err error) error {
 	time.Sleep(p.cluster.oneWay)
 	p.cluster.mu.Lock()
 	defer p.cluster.mu.Unlock()
@@ -213,24 +213,23 @@
 }
 
 func (p fakePeers) Begin(ctx context.Context, address string, request BeginRequest) (BeginReply, error) {
-	node, err := p.at(address)
+	node, err := p.reach(address)
 	if err != nil {
 		return BeginReply{}, err
 	}
 	reply, err := node.ServeBegin(ctx, request)
-	return reply, p.answered(node, err)
+	return reply, p.deliverReply(node, err)
 }
 
 func (p fakePeers) Finish(ctx context.Context, address string, request FinishRequest) (FinishReply, error) {
-	node, err := p.at(address)
+	node, err := p.reach(address)
 	if err != nil {
 		return FinishReply{}, err
 	}
 	reply, err := node.ServeFinish(ctx, request)
-	return reply, p.answered(node, err)
+	return reply, p.deliverReply(node, err)
 }
 
-// start runs a node.
 func (c *cluster) start(t testing.TB, name string, change func(*Options)) *testNode {
 	t.Helper()
 	log := logrus.New()
@@ -261,8 +260,8 @@
 	return node
 }
 
-// kill takes the node away at once: nobody reaches it, it reaches nobody, and
-// nothing of it is written any more.
+// kill disconnects the node immediately: it can neither be reached nor reach others, and
+// it writes nothing more.
 func (c *cluster) kill(node *testNode) {
 	c.mu.Lock()
 	node.dead = true
@@ -275,5 +274,5 @@
 	c.mu.Unlock()
 }
 
-// settle waits until all that was started has come to rest.
-func settle() { time.Sleep(10 * time.Second) }
+// waitUntilSettled waits long enough for takeovers and background recording to finish.
+func waitUntilSettled() { time.Sleep(10 * time.Second) }
--- a/internal/claim/fakestore_test.go
+++ b/internal/claim/fakestore_test.go
@@ -11,20 +11,20 @@
 	"galenatrestle/internal/platform"
 )
 
-// fault is what happens to one compare-and-swap.
+// fault is a failure of one compare-and-swap.
 type fault int
 
 const (
 	faultNone fault = iota
-	// faultDown fails the call before it has any effect.
+	// faultDown fails the call without any effect.
 	faultDown
-	// faultLost lets the write take effect and loses the answer.
+	// faultLost applies the write and loses the response.
 	faultLost
-	// faultLate fails the call and lets the write try to take effect later.
+	// faultLate fails the call and attempts the write later, in deliverLate.
 	faultLate
 )
 
-// fakeStore is a small platform with a latency and one fault hook.
+// fakeStore is a platform.Store with latency and fault injection.
 type fakeStore struct {
 	platform.Store
 	latency time.Duration
@@ -34,8 +34,7 @@
 	entries  map[string]platform.Entry
 	down     bool
 	faultOf  func(key string) fault
-	// gate, where set, is waited for by each compare-and-swap before it is
-	// carried out.
+	// gate, if set, is called before each compare-and-swap and may block it.
 	gate   func(key string, value []byte)
 	writes int
 	bytes  int
@@ -141,7 +140,7 @@
 	return entry, err
 }
 
-// swap carries the write out; the lock is held.
+// swap performs the write. The caller holds the lock.
 func (f *fakeStore) swap(key string, expect int64, value []byte) (platform.Entry, error) {
 	f.writes++
 	current := f.entries[key]
@@ -155,7 +154,7 @@
 	return entry, nil
 }
 
-// deliverLate carries out the writes whose callers have given them up.
+// deliverLate performs the writes that faultLate delayed.
 func (f *fakeStore) deliverLate() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/claim/fingerprint.go
+++ b/internal/claim/fingerprint.go
@@ -5,12 +5,11 @@
 	"crypto/sha256"
 )
 
-// Fingerprint identifies the content of a call, so that a key reused with
-// another content is found out.
+// Fingerprint identifies the content of a call, to detect reuse of an idempotency key
+// with different content.
 type Fingerprint [16]byte
 
-// FingerprintOf returns the fingerprint of a call: the first half of a SHA-256
-// sum over method, path and body.
+// FingerprintOf returns the first half of a SHA-256 sum over method, path and body.
 func FingerprintOf(method, path string, body []byte) Fingerprint {
 	digest := sha256.New()
 	writeField(digest, method)
@@ -19,11 +18,11 @@
 	return Fingerprint(digest.Sum(nil)[:len(Fingerprint{})])
 }
 
-// shortFingerprintBytes is how much of a fingerprint a short record keeps.
-// Another content passes for the same once in 2^32; it is not run either way.
+// shortFingerprintBytes is the length of the fingerprint prefix in a short record.
+// Different content collides with probability 2^-32; such a call is still not run.
 const shortFingerprintBytes = 4
 
-// matches compares with what a record keeps of a fingerprint.
-func (f Fingerprint) matches(kept []byte) bool {
-	return len(kept) >= shortFingerprintBytes && bytes.HasPrefix(f[:], kept)
+// matches compares the fingerprint with a stored fingerprint or prefix of one.
+func (f Fingerprint) matches(stored []byte) bool {
+	return len(stored) >= shortFingerprintBytes && bytes.HasPrefix(f[:], stored)
 }
--- a/internal/claim/finish.go
+++ b/internal/claim/finish.go
@@ -24,17 +24,17 @@
 		return c.finishAbsent(), Decision{}
 	}
 	if !bytes.Equal(state.GetAttempt(), c.Attempt[:]) {
-		// Another attempt's claim: this one has nothing to end.
+		// The claim belongs to another attempt.
 		return state, Decision{}
 	}
-	if !c.improves(state.GetPhase()) {
+	if !c.mayReplace(state.GetPhase()) {
 		return state, Decision{}
 	}
-	return ended(state, c.Phase, c.Answer, c.Now), Decision{}
+	return endedRecord(state, c.Phase, c.Answer, c.Now), Decision{}
 }
 
-// finishAbsent keeps a release that came before its claim, so that the claim's
-// late copy is refused. Any other end of a claim that is gone is dropped.
+// finishAbsent records a release that arrives before its claim, so that the delayed
+// claim is refused. Any other outcome without a claim is dropped.
 func (c FinishCommand) finishAbsent() *claimv1.Record {
 	if c.Phase != claimv1.Phase_PHASE_RELEASED {
 		return nil
@@ -47,9 +47,9 @@
 	}
 }
 
-// improves says whether the command may replace the phase: an unknown claim may
-// become recorded when its owner turns out to be alive, and never released.
-func (c FinishCommand) improves(phase claimv1.Phase) bool {
+// mayReplace reports whether the command may replace the phase. An unknown claim may
+// become recorded if its owner turns out to be alive, but never released.
+func (c FinishCommand) mayReplace(phase claimv1.Phase) bool {
 	switch phase {
 	case claimv1.Phase_PHASE_IN_PROGRESS:
 		return true
--- a/internal/claim/forward.go
+++ b/internal/claim/forward.go
@@ -7,86 +7,86 @@
 	"galenatrestle/internal/errs"
 )
 
-// tryBegin asks the holder once. errNotHolder is certain to have changed
-// nothing; after any other error the claim may have been made. With an error
-// comes what is remembered of the claim, if anything.
+// tryBegin sends the request to the shard's holder once. errNotHolder guarantees that
+// nothing changed; after any other error the claim may have been made. On error, the
+// reply is what a node remembers of the claim from an earlier term, if anything.
 func (n *Node) tryBegin(ctx context.Context, request BeginRequest) (BeginReply, error) {
-	part, shardHolder := n.shardOf(request.Key)
-	here, err := n.beginHere(ctx, part, request)
+	localShard, manager := n.shardOf(request.Key)
+	localReply, err := n.beginLocal(ctx, localShard, request)
 	if !errors.Is(err, errNotHolder) {
-		return here, err
+		return localReply, err
 	}
-	address, ok := shardHolder.holderAddress()
+	address, ok := manager.holderAddress()
 	if !ok {
 		n.metrics.retries.WithLabelValues(retryNoHolder).Inc()
-		return here, errNotHolder
+		return localReply, errNotHolder
 	}
-	call, cancel := context.WithTimeout(ctx, n.options.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, n.options.CallTimeout)
 	defer cancel()
-	reply, err := n.options.Peers.Begin(call, address, request)
+	reply, err := n.options.Peers.Begin(callCtx, address, request)
 	if err != nil {
-		n.peerFailed(shardHolder)
-		return here, errs.Wrap(errs.Peer, err, stepForward, address)
+		n.peerFailed(manager)
+		return localReply, errs.Wrap(errs.Peer, err, stepForward, address)
 	}
 	if reply.NotHolder {
-		n.notHolder(shardHolder, reply.Hint)
-		return reply.orElse(here), errNotHolder
+		n.followHint(manager, reply.Hint)
+		return reply.orElse(localReply), errNotHolder
 	}
 	return reply, nil
 }
 
-// tryFinish asks the holder once.
+// tryFinish sends the outcome to the shard's holder once.
 func (n *Node) tryFinish(ctx context.Context, request FinishRequest) error {
-	part, shardHolder := n.shardOf(request.Key)
-	err := part.finish(ctx, request)
+	localShard, manager := n.shardOf(request.Key)
+	err := localShard.finish(ctx, request)
 	if !errors.Is(err, errNotHolder) {
 		return err
 	}
-	address, ok := shardHolder.holderAddress()
+	address, ok := manager.holderAddress()
 	if !ok {
 		n.metrics.retries.WithLabelValues(retryNoHolder).Inc()
 		return errNotHolder
 	}
-	call, cancel := context.WithTimeout(ctx, n.options.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, n.options.CallTimeout)
 	defer cancel()
-	reply, err := n.options.Peers.Finish(call, address, request)
+	reply, err := n.options.Peers.Finish(callCtx, address, request)
 	if err != nil {
-		n.peerFailed(shardHolder)
+		n.peerFailed(manager)
 		return errs.Wrap(errs.Peer, err, stepForward, address)
 	}
 	if reply.NotHolder {
-		n.notHolder(shardHolder, reply.Hint)
+		n.followHint(manager, reply.Hint)
 		return errNotHolder
 	}
 	return nil
 }
 
-func (n *Node) peerFailed(shardHolder *shardHolder) {
+func (n *Node) peerFailed(manager *leaseManager) {
 	n.metrics.retries.WithLabelValues(retryPeer).Inc()
-	shardHolder.forget()
-	shardHolder.ask()
+	manager.clearHolder()
+	manager.requestAcquire()
 }
 
-// notHolder follows the hint of a peer that does not hold the shard. Where it
-// leads no further, the platform is asked by trying for the lease: peers with old
-// hints would else send a call from one to the other until it gives up.
-func (n *Node) notHolder(shardHolder *shardHolder, hint Hint) {
+// followHint updates the known holder from the reply of a node that does not hold the
+// shard. If the hint is not newer, this node tries to acquire the lease, which returns
+// the current holder; otherwise nodes with stale hints could redirect the call to each
+// other until it times out.
+func (n *Node) followHint(manager *leaseManager, hint Hint) {
 	n.metrics.retries.WithLabelValues(retryNotHolder).Inc()
-	if !shardHolder.learn(hint) {
-		shardHolder.forget()
-		shardHolder.ask()
+	if !manager.updateHint(hint) {
+		manager.clearHolder()
+		manager.requestAcquire()
 	}
 }
 
-func (n *Node) shardOf(key Key) (*shard, *shardHolder) {
+func (n *Node) shardOf(key Key) (*shard, *leaseManager) {
 	number := key.Shard(len(n.shards))
-	return n.shards[number], n.shardHolders[number]
+	return n.shards[number], n.leaseManagers[number]
 }
 
-// beginHere runs the request on the shard if it is held here.
-func (n *Node) beginHere(ctx context.Context, part *shard, request BeginRequest) (BeginReply, error) {
-	n.boots.seen(request.Node, request.Boot)
-	decision, err := part.begin(ctx, request, n.boots.gone)
+func (n *Node) beginLocal(ctx context.Context, localShard *shard, request BeginRequest) (BeginReply, error) {
+	n.boots.observe(request.Node, request.Boot)
+	decision, err := localShard.begin(ctx, request, n.boots.processEnded)
 	if errors.Is(err, errUncertain) {
 		n.metrics.retries.WithLabelValues(retryUncertain).Inc()
 	}
@@ -97,27 +97,25 @@
 	return reply, err
 }
 
-// ServeBegin answers a forwarded Begin. After an error the claim may have been
-// made.
+// ServeBegin handles a forwarded Begin. After an error the claim may have been made.
 func (n *Node) ServeBegin(ctx context.Context, request BeginRequest) (BeginReply, error) {
-	part, shardHolder := n.shardOf(request.Key)
-	reply, err := n.beginHere(ctx, part, request)
+	localShard, manager := n.shardOf(request.Key)
+	reply, err := n.beginLocal(ctx, localShard, request)
 	if errors.Is(err, errNotHolder) {
-		shardHolder.askIfOwner()
-		reply.NotHolder, reply.Hint = true, shardHolder.holderHint()
+		manager.requestAcquireIfPreferred()
+		reply.NotHolder, reply.Hint = true, manager.holderHint()
 		return reply, nil
 	}
 	return reply, err
 }
 
-// ServeFinish answers a forwarded Finish. After an error the outcome may be
-// durable.
+// ServeFinish handles a forwarded Finish. After an error the outcome may be durable.
 func (n *Node) ServeFinish(ctx context.Context, request FinishRequest) (FinishReply, error) {
-	part, shardHolder := n.shardOf(request.Key)
-	err := part.finish(ctx, request)
+	localShard, manager := n.shardOf(request.Key)
+	err := localShard.finish(ctx, request)
 	if errors.Is(err, errNotHolder) {
-		shardHolder.askIfOwner()
-		return FinishReply{NotHolder: true, Hint: shardHolder.holderHint()}, nil
+		manager.requestAcquireIfPreferred()
+		return FinishReply{NotHolder: true, Hint: manager.holderHint()}, nil
 	}
 	return FinishReply{}, err
 }
--- a/internal/claim/gather_test.go
+++ b/internal/claim/gather_test.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// TestGather counts the writes of one shard by what waits: a lone claim and its
-// end are written at once, a busy shard's changes once in GatherTime, and many
-// bytes without waiting for it, at the pace of the platform's budget.
-func TestGather(t *testing.T) {
+// TestWriteBatching counts the platform writes of one shard: a single claim and its outcome are
+// written immediately, a busy shard writes once per FlushInterval, and large changes are
+// written without waiting for FlushInterval, at the rate limit of the platform.
+func TestWriteBatching(t *testing.T) {
 	cases := []struct {
 		name string
-		// calls come one after the other, each a pause after the last one.
+		// calls are started one after another, with pause before each.
 		calls int
 		pause time.Duration
 		body  int
 		most  time.Duration
-		// writes are all, between these two.
+		// least and atMost bound the number of writes.
 		least, atMost int
 	}{
 		{"lone calls", 10, time.Second, 200, 6 * time.Millisecond, 20, 20},
 		{"a busy shard", 1000, 2 * time.Millisecond, 1, 2 * (DefaultFlushInterval + 10*time.Millisecond), 48, 56},
-		// Gathered by time alone these would be 50 writes; how many fall together
-		// beyond that is up to the scheduler.
+		// FlushInterval alone would give 50 writes. The upper bound is loose because
+		// batching depends on goroutine scheduling.
 		{"many bytes", 500, 4 * time.Millisecond, 8000, 2 * (DefaultFlushInterval + 10*time.Millisecond), 200, 420},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+			withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
 				before := c.store.written()
 				took := make([]time.Duration, test.calls)
 				var calls sync.WaitGroup
--- a/internal/claim/hint.go
+++ b/internal/claim/hint.go
@@ -6,18 +6,17 @@
 	"galenatrestle/internal/platform"
 )
 
-// Hint says who holds a shard, as far as its teller knows. It is soft state: the
-// lease decides.
+// Hint names the last known holder of a shard. It may be stale; the lease is
+// authoritative.
 type Hint struct {
-	// Holder is a name as by HolderName, empty where the teller knows none.
+	// Holder is a name in the format of HolderName; empty if unknown.
 	Holder string
-	// Epoch is the lease's in that holder's term; of two hints the one with the
-	// higher epoch is newer.
+	// Epoch is the lease epoch of that holder; the hint with the higher epoch is newer.
 	Epoch int64
 }
 
-// heldBy returns the hint that an error of Acquire gives.
-func heldBy(err error) Hint {
+// hintFromError returns the holder named in an error of Leases.Acquire.
+func hintFromError(err error) Hint {
 	var held *platform.HeldError
 	if !errors.As(err, &held) {
 		return Hint{}
@@ -25,9 +24,9 @@
 	return Hint{Holder: held.Current.Holder, Epoch: held.Current.Epoch}
 }
 
-// improves says whether the hint tells more than what is known. Nodes that heard
-// of a holder long ago can't lead a newer hint back to it.
-func (h Hint) improves(known Hint) bool {
+// supersedes reports whether the hint is newer than the known one. Older hints are
+// ignored, so that a node with stale information cannot undo a newer hint.
+func (h Hint) supersedes(known Hint) bool {
 	if h.Holder == "" {
 		return false
 	}
--- a/internal/claim/hint_test.go
+++ b/internal/claim/hint_test.go
@@ -4,28 +4,26 @@
 	"testing"
 )
 
-// hear makes a node believe that another one holds the shard.
-func hear(node *testNode, other string) {
-	node.shardHolders[0].forget()
-	node.shardHolders[0].learn(Hint{Holder: HolderName(other, "run-1", other)})
+// setHint makes a node regard another one as the holder.
+func setHint(node *testNode, other string) {
+	node.leaseManagers[0].clearHolder()
+	node.leaseManagers[0].updateHint(Hint{Holder: HolderName(other, "run-1", other)})
 }
 
-// TestStaleHintsLeadToTheHolder has two nodes that name each other as the holder
-// of a shard that neither holds any more: a call at a third, which believes one
-// of them, still finds the holder in time.
-func TestStaleHintsLeadToTheHolder(t *testing.T) {
-	within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+// Nodes with stale hints that name each other must not keep a call from reaching the
+// holder.
+func TestStaleHintsDoNotHideTheHolder(t *testing.T) {
+	withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
 		fourth := c.start(t, "n4", nil)
-		hear(nodes[1], "n3")
-		hear(nodes[2], "n4")
-		hear(fourth, "n3")
-		expectTold(t, "a call at a node with a stale hint", c.call(t, nodes[1], oneKey, "body", stepNone), toldRan)
-		expectRuns(t, c, oneKey, 1)
+		setHint(nodes[1], "n3")
+		setHint(nodes[2], "n4")
+		setHint(fourth, "n3")
+		expectResult(t, "a call at a node with a stale hint", c.call(t, nodes[1], testKey, "body", stepNone), resultRan)
+		expectRuns(t, c, testKey, 1)
 	})
 }
 
-// TestOlderHintIsNotFollowed tells a node that knows the holder of an older one.
-func TestOlderHintIsNotFollowed(t *testing.T) {
+func TestHintSupersedes(t *testing.T) {
 	old, current, next := Hint{Holder: "n2", Epoch: 4}, Hint{Holder: "n3", Epoch: 5}, Hint{Holder: "n4", Epoch: 6}
 	cases := []struct {
 		name     string
@@ -34,37 +32,37 @@
 		improves bool
 	}{
 		{"older", old, current, false},
-		{"older, the newer holder did not answer", old, Hint{Epoch: 5}, false},
+		{"older, the newer holder did not respond", old, Hint{Epoch: 5}, false},
 		{"the same again", current, current, false},
-		{"the same, after it did not answer", current, Hint{Epoch: 5}, true},
+		{"the same, after it did not respond", current, Hint{Epoch: 5}, true},
 		{"newer", next, current, true},
 		{"no holder", Hint{Epoch: 9}, current, false},
-		{"of a node that tells no epoch, nothing known", Hint{Holder: "n2"}, Hint{}, true},
+		{"without an epoch, nothing known", Hint{Holder: "n2"}, Hint{}, true},
 	}
 	for _, test := range cases {
-		if got := test.hint.improves(test.known); got != test.improves {
-			t.Errorf("%s: %+v improves %+v: %v", test.name, test.hint, test.known, got)
+		if got := test.hint.supersedes(test.known); got != test.improves {
+			t.Errorf("%s: %+v supersedes %+v: %v", test.name, test.hint, test.known, got)
 		}
 	}
 }
 
-// TestAHolderIsAskedAtTheAddressOfItsLease has a node that was replaced hold the
-// shard, while another one still has the address of the process before in its view.
-func TestAHolderIsAskedAtTheAddressOfItsLease(t *testing.T) {
-	within(t, func(t *testing.T, _ *cluster, nodes []*testNode) {
-		holder := nodes[1].shardHolders[0]
-		holder.forget()
-		holder.learn(Hint{Holder: HolderName("n3", "run-2", "n3-replaced"), Epoch: 9})
+// The address in the lease takes precedence over the view, which may still have that of
+// a replaced process.
+func TestHolderAddressPrefersLease(t *testing.T) {
+	withCluster(t, func(t *testing.T, _ *cluster, nodes []*testNode) {
+		holder := nodes[1].leaseManagers[0]
+		holder.clearHolder()
+		holder.updateHint(Hint{Holder: HolderName("n3", "run-2", "n3-replaced"), Epoch: 9})
 		if address, ok := holder.holderAddress(); !ok || address != "n3-replaced" {
-			t.Errorf("the holder is asked at %q, want the address in its lease", address)
+			t.Errorf("holder address is %q, want the address in its lease", address)
 		}
-		holder.learn(Hint{Holder: HolderName("n2", "run-1", "n2"), Epoch: 10})
+		holder.updateHint(Hint{Holder: HolderName("n2", "run-1", "n2"), Epoch: 10})
 		if address, ok := holder.holderAddress(); ok {
-			t.Errorf("a node asks itself at %q", address)
+			t.Errorf("holder address is this node's own: %q", address)
 		}
-		holder.learn(Hint{Holder: "n3", Epoch: 11})
+		holder.updateHint(Hint{Holder: "n3", Epoch: 11})
 		if address, ok := holder.holderAddress(); !ok || address != "n3" {
-			t.Errorf("a holder that tells no address is asked at %q, want that of the view", address)
+			t.Errorf("address of a holder without one in its lease is %q, want that of the view", address)
 		}
 	})
 }
--- a/internal/claim/hold.go
+++ b/internal/claim/hold.go
@@ -10,183 +10,182 @@
 	"galenatrestle/internal/platform"
 )
 
-// hold takes the shard over and writes for it until the term ends, another
-// holder supersedes this one, or ctx ends. When ctx ends, what waits is
-// written first.
+// hold takes over the shard and writes its changes until the term ends, another holder
+// supersedes this one, or ctx ends. When ctx ends, pending changes are written first.
 func (s *shard) hold(ctx context.Context, term Term, holder string) error {
-	live, stop := context.WithCancel(context.WithoutCancel(ctx))
+	termCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	go func() {
 		select {
 		case <-term.Done():
 			stop()
-		case <-live.Done():
+		case <-termCtx.Done():
 		}
 	}()
-	if err := s.takeOver(live, term, holder); err != nil {
+	if err := s.takeOver(termCtx, term, holder); err != nil {
 		return errs.Wrap(errs.Platform, err, stepTakeOver, shardPrefix(s.number))
 	}
-	err := s.writeAll(ctx, live)
-	s.letGo(err)
+	err := s.writeLoop(ctx, termCtx)
+	s.stopHolding(err)
 	return err
 }
 
-// takeOver reads the ring and fences it by its first write.
-func (s *shard) takeOver(ctx context.Context, term Term, holder string) error {
+// takeOver reads the ring and fences out the previous holder with its first write.
+func (s *shard) takeOver(termCtx context.Context, term Term, holder string) error {
 	prefix := shardPrefix(s.number)
-	entries, _, err := s.options.Store.List(ctx, prefix)
+	entries, _, err := s.options.Store.List(termCtx, prefix)
 	if err != nil {
 		return err
 	}
-	fresh, err := recoverRing(s.options.Policy, prefix, holder, term.Epoch(), entries)
+	recovered, err := recoverRing(s.options.Policy, prefix, holder, term.Epoch(), entries)
 	if err != nil {
 		return err
 	}
-	if err := s.write(ctx, fresh); err != nil {
+	if err := s.write(termCtx, recovered); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ring = fresh
+	s.ring = recovered
 	s.term = term
 	s.holding = true
-	s.advance()
+	s.notifyWaiters()
 	s.metrics.takeovers.Inc()
 	return nil
 }
 
-// writeAll writes whenever something waits.
-func (s *shard) writeAll(ctx, live context.Context) error {
+// writeLoop writes pending changes until termCtx or ctx ends.
+func (s *shard) writeLoop(ctx, termCtx context.Context) error {
 	for {
 		select {
 		case <-s.wake:
-		case <-live.Done():
+		case <-termCtx.Done():
 			return nil
 		case <-ctx.Done():
-			return s.flush(live)
+			return s.flush(termCtx)
 		}
-		if err := s.flush(live); err != nil {
+		if err := s.flush(termCtx); err != nil {
 			return err
 		}
 	}
 }
 
-// flush writes until nothing waits, one write at a time, gathered, and no faster
-// than the shard's share of the platform's rate.
-func (s *shard) flush(live context.Context) error {
-	for s.waiting() {
-		if !s.gather(live) || s.limiter.Wait(live) != nil {
+// flush writes until no changes are pending, one write at a time, in batches, and within
+// the shard's share of the platform's write rate.
+func (s *shard) flush(termCtx context.Context) error {
+	for s.hasPending() {
+		if !s.waitForBatch(termCtx) || s.limiter.Wait(termCtx) != nil {
 			return nil
 		}
-		if err := s.write(live, s.ring); err != nil {
+		if err := s.write(termCtx, s.ring); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// gather waits until the next write is worthwhile: at once on an idle shard, else
-// once its turn has come or GatherBytes wait. It returns false when live ended
-// first.
-func (s *shard) gather(live context.Context) bool {
-	turn := s.gathering.Reserve()
-	timer := time.NewTimer(turn.Delay())
+// waitForBatch waits until the next write is due: immediately on an idle shard,
+// otherwise after FlushInterval or once FlushBytes are pending. It returns false if
+// termCtx ends first.
+func (s *shard) waitForBatch(termCtx context.Context) bool {
+	reservation := s.flushLimiter.Reserve()
+	timer := time.NewTimer(reservation.Delay())
 	defer timer.Stop()
-	for s.waitingBytes() < s.options.FlushBytes {
+	for s.pendingSize() < s.options.FlushBytes {
 		select {
 		case <-timer.C:
-			return live.Err() == nil
+			return termCtx.Err() == nil
 		case <-s.wake:
-		case <-live.Done():
-			turn.Cancel()
+		case <-termCtx.Done():
+			reservation.Cancel()
 			return false
 		}
 	}
-	turn.Cancel()
-	return live.Err() == nil
+	reservation.Cancel()
+	return termCtx.Err() == nil
 }
 
-func (s *shard) waitingBytes() int {
+func (s *shard) pendingSize() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ring.pendingBytes
 }
 
-func (s *shard) waiting() bool {
+func (s *shard) hasPending() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.ring.pending) > 0 || s.ring.compact
 }
 
-// write makes the ring's next write. It returns nil when it has taken effect,
-// errSuperseded when another holder has the ring, and errUncertain when the
-// term ended before that was known.
-func (s *shard) write(live context.Context, current *ring) error {
+// write performs the ring's next write. It returns nil once the write has taken effect,
+// errSuperseded if another holder has taken over the ring, and errUncertain if the term
+// ended before the result was known.
+func (s *shard) write(termCtx context.Context, current *ring) error {
 	s.mu.Lock()
 	next, err := current.nextWrite(time.Now(), uuid.New())
 	s.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	revision, err := s.settle(live, next)
+	revision, err := s.resolveWrite(termCtx, next)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	current.written(next, revision)
+	current.markWritten(next, revision)
 	s.stuck = false
-	s.advance()
-	s.metrics.written(s.number, next, current)
-	s.warnOfFill(current.fill())
+	s.notifyWaiters()
+	s.metrics.countWrite(s.number, next, current)
+	s.warnIfFilling(current.fill())
 	return nil
 }
 
-// stuckTries is how many tries of one write may fail before new claims are
-// refused at once.
-const stuckTries = 3
+// stuckAfterTries is the number of failed tries of one write after which new claims are
+// refused immediately.
+const stuckAfterTries = 3
 
-// settle sends the write until its effect is known. An answer that was lost is
-// resolved by sending the same write again: it meets its own write id.
-func (s *shard) settle(live context.Context, next write) (int64, error) {
+// resolveWrite sends the write until its effect is known. After a lost response it sends
+// the same write again and recognizes its own write ID in the conflict.
+func (s *shard) resolveWrite(termCtx context.Context, next write) (int64, error) {
 	for tries := 1; ; tries++ {
-		outcome, revision := s.send(live, next)
+		outcome, revision := s.send(termCtx, next)
 		s.metrics.writes.WithLabelValues(outcome.String()).Inc()
 		switch outcome {
-		case effectLanded:
+		case effectApplied:
 			return revision, nil
 		case effectSuperseded:
 			return 0, errSuperseded
 		}
 		s.mu.Lock()
-		s.stuck = tries >= stuckTries
-		s.advance()
+		s.stuck = tries >= stuckAfterTries
+		s.notifyWaiters()
 		s.mu.Unlock()
-		if !pause(live, s.options) {
+		if !pause(termCtx, s.options) {
 			return 0, errUncertain
 		}
 	}
 }
 
-func (s *shard) send(live context.Context, next write) (effect, int64) {
-	ctx, cancel := context.WithTimeout(live, s.options.CallTimeout)
+func (s *shard) send(termCtx context.Context, next write) (effect, int64) {
+	ctx, cancel := context.WithTimeout(termCtx, s.options.CallTimeout)
 	defer cancel()
 	answer, err := s.options.Store.CompareAndSwap(ctx, next.key, next.expect, next.value)
-	outcome, revision := next.judge(answer, err)
-	if outcome != effectUnread {
+	outcome, revision := next.classify(answer, err)
+	if outcome != effectNeedsRead {
 		return outcome, revision
 	}
 	var found platform.Entry
 	found, err = s.options.Store.Get(ctx, next.key)
 	if err != nil {
-		return effectOpen, 0
+		return effectUnresolved, 0
 	}
-	return next.recognise(found)
+	return next.classifyStored(found)
 }
 
-// letGo ends the holding. What is known stays readable unless another holder
-// may have gone on from it.
-func (s *shard) letGo(cause error) {
+// stopHolding ends this node's term as holder. The ring stays readable unless another
+// holder may have written to it.
+func (s *shard) stopHolding(cause error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.holding = false
@@ -194,5 +193,5 @@
 	if cause == errSuperseded {
 		s.ring = nil
 	}
-	s.advance()
+	s.notifyWaiters()
 }
--- a/internal/claim/judge_test.go
+++ b/internal/claim/judge_test.go
@@ -11,10 +11,9 @@
 	"galenatrestle/internal/platform/memstore"
 )
 
-// TestJudge reads each answer of the platform, as it is and as its client wraps
-// it.
-func TestJudge(t *testing.T) {
-	b := newRingBench(t, benchPolicy())
+// Each platform response is classified both plain and wrapped by the platform client.
+func TestClassifyWrite(t *testing.T) {
+	b := newRingHarness(t, smallPolicy())
 	b.begin(keyNumber(1), attemptNumber(1), "")
 	mine, err := b.ring.nextWrite(b.now, uuid.New())
 	if err != nil {
@@ -30,19 +29,19 @@
 		want     effect
 		revision int64
 	}{
-		{"taken", nil, effectLanded, 7},
-		{"own write found", conflict(mine.value, 9), effectLanded, 9},
+		{"applied", nil, effectApplied, 7},
+		{"own write found", conflict(mine.value, 9), effectApplied, 9},
 		{"another's write found", conflict(other.Value, 9), effectSuperseded, 0},
-		{"a value that can't be read", conflict([]byte{0xff}, 9), effectSuperseded, 0},
-		{"a value that wasn't told", conflict(nil, 9), effectUnread, 0},
-		{"no answer", platform.ErrUnavailable, effectOpen, 0},
-		{"timeout", context.DeadlineExceeded, effectOpen, 0},
-		{"rate limited", platform.ErrRateLimited, effectOpen, 0},
+		{"an unreadable value", conflict([]byte{0xff}, 9), effectSuperseded, 0},
+		{"a conflict without its value", conflict(nil, 9), effectNeedsRead, 0},
+		{"no answer", platform.ErrUnavailable, effectUnresolved, 0},
+		{"timeout", context.DeadlineExceeded, effectUnresolved, 0},
+		{"rate limited", platform.ErrRateLimited, effectUnresolved, 0},
 		{"too large", platform.ErrTooLarge, effectSuperseded, 0},
 	}
 	for _, test := range cases {
 		for _, err := range []error{test.err, errs.Wrap(errs.Platform, test.err, "compare_and_swap", "platform")} {
-			got, revision := mine.judge(platform.Entry{Revision: 7}, err)
+			got, revision := mine.classify(platform.Entry{Revision: 7}, err)
 			if got != test.want || revision != test.revision {
 				t.Errorf("%s: got %v at %d, want %v at %d", test.name, got, revision, test.want, test.revision)
 			}
@@ -50,8 +49,8 @@
 	}
 }
 
-// TestSupersededOnThePlatform lets the platform itself refuse the write of a
-// holder that another has superseded, and recognise one whose answer was lost.
+// The platform must reject the write of a superseded holder and accept a resend of a
+// write that took effect.
 func TestSupersededOnThePlatform(t *testing.T) {
 	store := memstore.New(memstore.Config{})
 	take := func(epoch int64) (*ring, write) {
@@ -59,7 +58,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := recoverRing(benchPolicy(), "claims/", "n1", epoch, entries)
+		r, err := recoverRing(smallPolicy(), "claims/", "n1", epoch, entries)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,19 +69,19 @@
 		return r, next
 	}
 	send := func(w write) effect {
-		outcome, _ := w.judge(store.CompareAndSwap(t.Context(), w.key, w.expect, w.value))
+		outcome, _ := w.classify(store.CompareAndSwap(t.Context(), w.key, w.expect, w.value))
 		return outcome
 	}
 	_, first := take(1)
-	if got := send(first); got != effectLanded {
+	if got := send(first); got != effectApplied {
 		t.Fatalf("the first holder's write: %v", got)
 	}
-	if got := send(first); got != effectLanded {
+	if got := send(first); got != effectApplied {
 		t.Errorf("the same write again: %v", got)
 	}
 	_, stale := take(2)
 	_, second := take(3)
-	if got := send(second); got != effectLanded {
+	if got := send(second); got != effectApplied {
 		t.Errorf("the second holder's write: %v", got)
 	}
 	if got := send(stale); got != effectSuperseded {
--- a/internal/claim/key.go
+++ b/internal/claim/key.go
@@ -8,17 +8,17 @@
 	"galenatrestle/internal/refusal"
 )
 
-// MaxIdempotencyKeyBytes is the longest idempotency key taken.
+// MaxIdempotencyKeyBytes is the maximum length of an idempotency key.
 const MaxIdempotencyKeyBytes = 255
 
-// Key names one unrepeatable call.
+// Key identifies one unrepeatable call.
 type Key struct {
 	Workspace      string
 	Upstream       string
 	IdempotencyKey string
 }
 
-// Check refuses a key that cannot be claimed.
+// Check returns an error if the key cannot be claimed.
 func (k Key) Check() *refusal.Error {
 	if k.IdempotencyKey == "" {
 		return refusal.New(refusal.IdempotencyNeeds, stepCheck, "the call may not be repeated and needs an Idempotency-Key")
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// Shard returns the shard, from 0 to shards-1, that keeps the key.
+// Shard returns the number of the key's shard, from 0 to shards-1.
 func (k Key) Shard(shards int) int {
 	digest := xxhash.New()
 	writeField(digest, k.Workspace)
@@ -38,7 +38,8 @@
 	return int(digest.Sum64() % uint64(shards))
 }
 
-// writeField adds the text with its length, so that fields cannot run together.
+// writeField writes the text with a length prefix, so that adjacent fields cannot be
+// confused.
 func writeField(digest interface{ Write([]byte) (int, error) }, text string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(text)))
--- a/internal/claim/known.go
+++ b/internal/claim/known.go
@@ -6,26 +6,26 @@
 	"galenatrestle/internal/refusal"
 )
 
-// Lookup implements Ledger. It costs no write to the platform.
+// Lookup implements Ledger. It does not write to the platform.
 func (n *Node) Lookup(ctx context.Context, key Key, content Fingerprint) (BeginResult, bool, error) {
 	if refused := key.Check(); refused != nil {
 		return BeginResult{}, false, refused
 	}
 	request := n.newRequest(key, content)
 	request.KnownOnly = true
-	within, cancel := context.WithTimeout(ctx, n.options.BeginTimeout)
+	lookupCtx, cancel := context.WithTimeout(ctx, n.options.BeginTimeout)
 	defer cancel()
-	reply, err := n.settleBegin(within, request)
+	reply, err := n.retryBegin(lookupCtx, request)
 	if err != nil {
-		return BeginResult{}, false, gaveUp(ctx, err)
+		return BeginResult{}, false, unsettledRefusal(ctx, err)
 	}
 	switch {
 	case reply.Refused == refusal.QuotaExceeded:
 		return BeginResult{}, false, nil
 	case reply.Refused != "":
-		return BeginResult{}, false, refusedBy(reply.Refused, key)
+		return BeginResult{}, false, holderRefusal(reply.Refused, key)
 	case reply.Verdict == Run:
-		// A holder of an earlier version does not know of KnownOnly.
+		// A holder of an earlier version ignores KnownOnly.
 		n.abandon(request)
 		return BeginResult{}, false, nil
 	}
--- a/internal/claim/known_test.go
+++ b/internal/claim/known_test.go
@@ -6,25 +6,23 @@
 	"galenatrestle/internal/refusal"
 )
 
-// TestKnownAnswersAndClaimsNothing asks all nodes for a call before its claim
-// and after its record.
-func TestKnownAnswersAndClaimsNothing(t *testing.T) {
-	within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+func TestLookupMakesNoClaim(t *testing.T) {
+	withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
 		content := FingerprintOf("POST", "/claims", []byte("body"))
 		writes := writesOf(c.store)
 		for _, node := range nodes {
-			if grant, known, err := node.Lookup(t.Context(), oneKey, content); known || err != nil {
+			if grant, known, err := node.Lookup(t.Context(), testKey, content); known || err != nil {
 				t.Errorf("%s before the claim: %v %v", node.name, grant.Verdict, err)
 			}
 		}
 		if after := writesOf(c.store); after != writes {
 			t.Errorf("asking wrote %d times", after-writes)
 		}
-		grant, err := nodes[1].Begin(t.Context(), oneKey, content)
+		grant, err := nodes[1].Begin(t.Context(), testKey, content)
 		if err != nil || grant.Verdict != Run {
 			t.Fatalf("Begin = %v %v, want the right to run", grant.Verdict, err)
 		}
-		if grant, known, err := nodes[2].Lookup(t.Context(), oneKey, content); !known || err != nil || grant.Verdict != InProgress {
+		if grant, known, err := nodes[2].Lookup(t.Context(), testKey, content); !known || err != nil || grant.Verdict != InProgress {
 			t.Errorf("while it runs: %v %v %v", grant.Verdict, known, err)
 		}
 		answer := Answer{Status: 201, Body: []byte("done")}
@@ -32,12 +30,12 @@
 			t.Fatal(err)
 		}
 		for _, node := range nodes {
-			grant, known, err := node.Lookup(t.Context(), oneKey, content)
+			grant, known, err := node.Lookup(t.Context(), testKey, content)
 			if !known || err != nil || grant.Verdict != Recorded || string(grant.Answer.Body) != "done" {
 				t.Errorf("%s after the record: %v %v %v %q", node.name, grant.Verdict, known, err, grant.Answer.Body)
 			}
 		}
-		_, _, err = nodes[0].Lookup(t.Context(), oneKey, FingerprintOf("POST", "/claims", []byte("other")))
+		_, _, err = nodes[0].Lookup(t.Context(), testKey, FingerprintOf("POST", "/claims", []byte("other")))
 		if refused := refusal.From(err); err == nil || refused.Reason != refusal.IdempotencyReuse {
 			t.Errorf("another content got %v", err)
 		}
--- a/internal/claim/model_test.go
+++ b/internal/claim/model_test.go
@@ -11,10 +11,8 @@
 	"galenatrestle/internal/platform"
 )
 
-// modelPrefix is the shard's prefix in the model.
 const modelPrefix = "claims/"
 
-// modelKeys are the platform keys of the model's ring.
 var modelKeys = [2]string{segmentKey(modelPrefix, 0), segmentKey(modelPrefix, 1)}
 
 var (
@@ -23,7 +21,6 @@
 	modelContent = FingerprintOf("POST", "/claims", nil)
 )
 
-// model explores every order of steps.
 type model struct {
 	seen     map[[16]byte]bool
 	reached  map[string]int
@@ -34,7 +31,7 @@
 
 func attemptOf(i int) uuid.UUID { return uuid.UUID{byte(i + 1)} }
 
-// explore visits all states that follow from s, depth first.
+// explore visits all states reachable from s, depth first.
 func (m *model) explore(s *modelState) {
 	stack := []*modelState{s}
 	for len(stack) > 0 && len(m.failures) == 0 {
@@ -49,10 +46,10 @@
 	}
 }
 
-// steps returns the states after each step that can come next.
+// steps returns the states after each possible next step.
 func (m *model) steps(s *modelState) []*modelState {
 	var next []*modelState
-	try := func(possible bool, step func(*modelState)) {
+	addIf := func(possible bool, step func(*modelState)) {
 		if !possible {
 			return
 		}
@@ -62,13 +59,13 @@
 		next = append(next, after)
 	}
 	for n := range s.nodes {
-		m.nodeSteps(s, n, try)
+		m.nodeSteps(s, n, addIf)
 	}
 	for i := range s.requests {
-		m.requestSteps(s, i, try)
+		m.requestSteps(s, i, addIf)
 	}
 	for i := range s.late {
-		try(true, func(s *modelState) {
+		addIf(true, func(s *modelState) {
 			_, _ = s.swap(s.late[i])
 			s.late = slices.Delete(s.late, i, i+1)
 		})
@@ -76,35 +73,34 @@
 	return next
 }
 
-// nodeSteps are what may happen to a node as holder.
-func (m *model) nodeSteps(s *modelState, n int, try func(bool, func(*modelState))) {
+func (m *model) nodeSteps(s *modelState, n int, addIf func(bool, func(*modelState))) {
 	node := s.nodes[n]
 	if node.dead {
 		return
 	}
-	try(s.left.takeovers > 0 && node.sending == nil, func(s *modelState) { m.takeOver(s, n) })
-	try(s.left.crashes > 0, func(s *modelState) { s.crash(n) })
-	try(s.left.suspicions > 0 && !node.suspected, func(s *modelState) {
-		s.left.suspicions--
+	addIf(s.faultsLeft.takeovers > 0 && node.sending == nil, func(s *modelState) { m.takeOver(s, n) })
+	addIf(s.faultsLeft.crashes > 0, func(s *modelState) { s.crash(n) })
+	addIf(s.faultsLeft.suspicions > 0 && !node.suspected, func(s *modelState) {
+		s.faultsLeft.suspicions--
 		s.nodes[n].suspected = true
 	})
 	sending := node.sending != nil
-	try(sending, func(s *modelState) { m.answered(s, n) })
-	try(sending && s.left.lost > 0, func(s *modelState) {
-		s.left.lost--
+	addIf(sending, func(s *modelState) { m.deliverAnswer(s, n) })
+	addIf(sending && s.faultsLeft.lost > 0, func(s *modelState) {
+		s.faultsLeft.lost--
 		_, _ = s.swap(*s.nodes[n].sending)
 	})
-	try(sending && s.left.late > 0, func(s *modelState) {
-		s.left.late--
+	addIf(sending && s.faultsLeft.late > 0, func(s *modelState) {
+		s.faultsLeft.late--
 		s.late = append(s.late, *s.nodes[n].sending)
 	})
-	try(node.ring != nil && !sending && len(node.ring.pending) > 0, func(s *modelState) { m.send(s, n) })
+	addIf(node.ring != nil && !sending && len(node.ring.pending) > 0, func(s *modelState) { m.send(s, n) })
 }
 
-// takeOver reads the ring at a new epoch. No lease hinders it: a holder that is
-// paused past its lease, and two that believe in theirs, are all covered.
+// takeOver recovers the ring at a new epoch. The model has no leases, so it includes
+// paused holders and two concurrent holders.
 func (m *model) takeOver(s *modelState, n int) {
-	s.left.takeovers--
+	s.faultsLeft.takeovers--
 	s.epoch++
 	var entries []platform.Entry
 	for _, entry := range s.entries {
@@ -129,14 +125,14 @@
 	s.nodes[n].sending = &next
 }
 
-// answered carries the write out and takes the answer.
-func (m *model) answered(s *modelState, n int) {
+// deliverAnswer performs the write and delivers its result to the holder.
+func (m *model) deliverAnswer(s *modelState, n int) {
 	node := &s.nodes[n]
-	outcome, revision := node.sending.judge(s.swap(*node.sending))
+	outcome, revision := node.sending.classify(s.swap(*node.sending))
 	m.reached["write "+outcome.String()]++
 	switch outcome {
-	case effectLanded:
-		node.ring.written(*node.sending, revision)
+	case effectApplied:
+		node.ring.markWritten(*node.sending, revision)
 		node.fencing = false
 	case effectSuperseded:
 		node.ring = nil
@@ -144,9 +140,9 @@
 	node.sending = nil
 }
 
-// crash ends a node; its write under way may still arrive.
+// crash ends a node. Its write in flight may still take effect.
 func (s *modelState) crash(n int) {
-	s.left.crashes--
+	s.faultsLeft.crashes--
 	node := &s.nodes[n]
 	if node.sending != nil {
 		s.late = append(s.late, *node.sending)
@@ -164,50 +160,49 @@
 	return true
 }
 
-// tailStays and tailMoves are a ring whose tail stays and one that moves with
-// each write.
+// tailStays never seals the tail; tailMoves starts a new segment with each write.
 var (
 	tailStays = Policy{Segments: 2, SegmentBytes: 1 << 20, InProgressLimit: time.Hour, KeyRetention: time.Hour}
 	tailMoves = Policy{Segments: 2, SegmentBytes: 1, InProgressLimit: time.Hour, KeyRetention: time.Hour}
-	// tailShortens overwrites its only segment with each write and shortens
-	// each ended claim that it carries.
+	// tailShortens overwrites its only segment with each write and shortens each ended
+	// claim.
 	tailShortens = Policy{Segments: 1, SegmentBytes: 1, InProgressLimit: time.Hour, KeyRetention: time.Hour, AnswerRetention: -1}
 )
 
-// newModel explores from a state in which node 0 is about to take over: nodes
-// and requests are alike, so that the first holder may be fixed.
+// newModel explores from a state in which node 0 takes over first. Nodes and requests
+// are symmetric, so the choice does not matter.
 func newModel(start *modelState) *model {
 	m := &model{seen: make(map[[16]byte]bool), reached: make(map[string]int)}
 	start.entries = make(map[string]platform.Entry)
 	start.contents = make(map[string][]byte)
-	start.left.takeovers++
+	start.faultsLeft.takeovers++
 	m.takeOver(start, 0)
 	m.explore(start)
 	return m
 }
 
-// TestModel visits every order of claims, writes, take-overs, crashes, lost and
-// late writes within the bound, and runs the real decisions in each.
+// TestModel explores every order of claims, writes, takeovers, crashes, lost responses
+// and late writes within the fault budget, using the production code for each decision.
 func TestModel(t *testing.T) {
 	bounds := map[string]modelState{
-		"three holders": {policy: tailStays, left: budget{takeovers: 2}},
-		"crash":         {policy: tailStays, left: budget{takeovers: 1, crashes: 1}},
-		"lost answer":   {policy: tailStays, left: budget{takeovers: 1, lost: 1}},
-		"late write":    {policy: tailStays, left: budget{takeovers: 1, late: 1}},
-		"suspicion":     {policy: tailStays, left: budget{takeovers: 1, suspicions: 1}},
-		"release":       {policy: tailStays, left: budget{takeovers: 1, releases: 1}},
-
-		"three holders and crash, tail moves":   {policy: tailMoves, left: budget{takeovers: 2, crashes: 1}},
-		"crash and lost answer, tail moves":     {policy: tailMoves, left: budget{takeovers: 1, crashes: 1, lost: 1}},
-		"crash and late write, tail moves":      {policy: tailMoves, left: budget{takeovers: 1, crashes: 1, late: 1}},
-		"suspicion and lost answer, tail moves": {policy: tailMoves, left: budget{takeovers: 1, suspicions: 1, lost: 1}},
-		"release and late write, tail moves":    {policy: tailMoves, left: budget{takeovers: 1, releases: 1, late: 1}},
-	}
-	for _, left := range []budget{
+		"three holders": {policy: tailStays, faultsLeft: faultBudget{takeovers: 2}},
+		"crash":         {policy: tailStays, faultsLeft: faultBudget{takeovers: 1, crashes: 1}},
+		"lost answer":   {policy: tailStays, faultsLeft: faultBudget{takeovers: 1, lost: 1}},
+		"late write":    {policy: tailStays, faultsLeft: faultBudget{takeovers: 1, late: 1}},
+		"suspicion":     {policy: tailStays, faultsLeft: faultBudget{takeovers: 1, suspicions: 1}},
+		"release":       {policy: tailStays, faultsLeft: faultBudget{takeovers: 1, releases: 1}},
+
+		"three holders and crash, tail moves":   {policy: tailMoves, faultsLeft: faultBudget{takeovers: 2, crashes: 1}},
+		"crash and lost answer, tail moves":     {policy: tailMoves, faultsLeft: faultBudget{takeovers: 1, crashes: 1, lost: 1}},
+		"crash and late write, tail moves":      {policy: tailMoves, faultsLeft: faultBudget{takeovers: 1, crashes: 1, late: 1}},
+		"suspicion and lost answer, tail moves": {policy: tailMoves, faultsLeft: faultBudget{takeovers: 1, suspicions: 1, lost: 1}},
+		"release and late write, tail moves":    {policy: tailMoves, faultsLeft: faultBudget{takeovers: 1, releases: 1, late: 1}},
+	}
+	for _, left := range []faultBudget{
 		{takeovers: 2, crashes: 1}, {takeovers: 1, crashes: 1, lost: 1}, {takeovers: 1, crashes: 1, late: 1},
 		{takeovers: 1, suspicions: 1, lost: 1}, {takeovers: 1, releases: 1, late: 1},
 	} {
-		bounds[fmt.Sprintf("short records, %+v", left)] = modelState{policy: tailShortens, left: left}
+		bounds[fmt.Sprintf("short records, %+v", left)] = modelState{policy: tailShortens, faultsLeft: left}
 	}
 	for name, start := range bounds {
 		t.Run(name, func(t *testing.T) {
@@ -229,12 +224,12 @@
 	}
 }
 
-// TestModelFindsFaults runs the model on broken parts: it must see the call run
-// twice.
-func TestModelFindsFaults(t *testing.T) {
+// TestModelDetectsFaults checks that the model detects double execution in broken
+// implementations.
+func TestModelDetectsFaults(t *testing.T) {
 	broken := map[string]modelState{
-		"writes without a condition": {unconditional: true, left: budget{takeovers: 1}},
-		"answers before the write":   {early: true, left: budget{takeovers: 1}},
+		"writes without a condition": {unconditional: true, faultsLeft: faultBudget{takeovers: 1}},
+		"answers before the write":   {early: true, faultsLeft: faultBudget{takeovers: 1}},
 	}
 	for name, start := range broken {
 		t.Run(name, func(t *testing.T) {
--- a/internal/claim/modelstate_test.go
+++ b/internal/claim/modelstate_test.go
@@ -15,12 +15,11 @@
 	"galenatrestle/internal/platform"
 )
 
-// budget bounds the faults on one path of the model.
-type budget struct {
+// faultBudget limits the takeovers and faults on one path of the model.
+type faultBudget struct {
 	takeovers, crashes, lost, late, suspicions, releases int
 }
 
-// requestState is how far one request of the model has come.
 type requestState int
 
 const (
@@ -34,45 +33,44 @@
 
 // modelRequest is one caller's request; request i arrives at node i.
 type modelRequest struct {
-	state     requestState
-	holder    int
-	term      int64
-	change    int64
-	decision  Decision
-	told      told
-	finishes  int
-	tries     int
-	uncertain bool
-}
-
-// modelNode is one node, which may believe that it holds the shard.
+	state        requestState
+	holder       int
+	term         int64
+	change       int64
+	decision     Decision
+	callerResult callResult
+	finishes     int
+	tries        int
+	uncertain    bool
+}
+
+// modelNode is one node. Both nodes may consider themselves holders.
 type modelNode struct {
 	dead      bool
 	suspected bool
 	ring      *ring
-	// fencing says that the ring's first write is under way.
+	// fencing reports that the ring's first write is in flight.
 	fencing bool
-	// sending is the write under way.
 	sending *write
 }
 
-// modelState is one state of the model: a shard with one key, two nodes, two
-// requests with that key.
+// modelState is one state of the model: a shard with one key, two nodes and two requests
+// with that key.
 type modelState struct {
-	policy   Policy
-	entries  map[string]platform.Entry
-	revision int64
-	epoch    int64
-	nodes    [2]modelNode
-	requests [2]modelRequest
-	late     []write
-	sends    int
-	left     budget
-	// contents caches content; all clones share it.
+	policy     Policy
+	entries    map[string]platform.Entry
+	revision   int64
+	epoch      int64
+	nodes      [2]modelNode
+	requests   [2]modelRequest
+	late       []write
+	sends      int
+	faultsLeft faultBudget
+	// contents caches the results of content; all clones share it.
 	contents map[string][]byte
-	// unconditional is a broken platform that writes whatever is expected.
+	// unconditional simulates a broken platform that ignores the expected revision.
 	unconditional bool
-	// early is a broken holder that answers before its write is durable.
+	// early simulates a broken holder that responds before its write is durable.
 	early bool
 }
 
@@ -100,11 +98,11 @@
 	return &copied
 }
 
-// identity returns a digest of all that decides what can happen next. Revisions,
-// epochs and change numbers count only as far as they are compared.
+// identity returns a digest of everything that determines the next steps. Revisions,
+// epochs and change numbers are included only as the results of their comparisons.
 func (m *modelState) identity() [16]byte {
 	to := make(identity, 0, 2048)
-	to.add(m.sends, m.left.takeovers, m.left.crashes, m.left.lost, m.left.late, m.left.suspicions, m.left.releases)
+	to.add(m.sends, m.faultsLeft.takeovers, m.faultsLeft.crashes, m.faultsLeft.lost, m.faultsLeft.late, m.faultsLeft.suspicions, m.faultsLeft.releases)
 	for position := range m.policy.Segments {
 		to.addBytes(m.content(m.entries[modelKeys[position]].Value))
 	}
@@ -115,7 +113,7 @@
 	}
 	for n := range m.nodes {
 		node := &m.nodes[n]
-		to.add(asInt(node.dead), asInt(node.suspected), asInt(node.fencing), asInt(node.sending != nil), asInt(node.ring != nil))
+		to.add(boolToInt(node.dead), boolToInt(node.suspected), boolToInt(node.fencing), boolToInt(node.sending != nil), boolToInt(node.ring != nil))
 		m.identifySending(&to, node.sending)
 		m.identifyRing(&to, node.ring)
 	}
@@ -126,7 +124,6 @@
 	return [16]byte(sum[:16])
 }
 
-// identity collects what identifies a state.
 type identity []byte
 
 func (to *identity) add(numbers ...int) {
@@ -140,30 +137,30 @@
 	*to = append(*to, text...)
 }
 
-func asInt(yes bool) int {
+func boolToInt(yes bool) int {
 	if yes {
 		return 1
 	}
 	return 0
 }
 
-// content is a segment without the marks of its writer.
+// content returns a segment without write ID, epoch and holder.
 func (m *modelState) content(value []byte) []byte {
 	known, cached := m.contents[string(value)]
 	if !cached {
-		known = withoutMarks(value)
+		known = withoutWriter(value)
 		m.contents[string(value)] = known
 	}
 	return known
 }
 
-func withoutMarks(value []byte) []byte {
+func withoutWriter(value []byte) []byte {
 	segment := &claimv1.Segment{}
 	if proto.Unmarshal(value, segment) != nil {
 		return value
 	}
 	segment.WriteId, segment.Epoch, segment.Holder = nil, 0, ""
-	// Marshal of a message that was just read does not fail.
+	// Marshaling a message that was just unmarshaled does not fail.
 	encoded, _ := proto.Marshal(segment)
 	return encoded
 }
@@ -175,7 +172,7 @@
 	current := m.entries[sending.key]
 	landed := bytes.Equal(current.Value, sending.value)
 	to.addBytes([]byte(sending.key))
-	to.add(asInt(current.Revision == sending.expect), asInt(landed))
+	to.add(boolToInt(current.Revision == sending.expect), boolToInt(landed))
 	if landed || current.Revision == sending.expect {
 		to.addBytes(m.content(sending.value))
 	}
@@ -185,20 +182,20 @@
 	if r == nil {
 		return
 	}
-	to.add(int(r.tail), asInt(r.sealed))
+	to.add(int(r.tail), boolToInt(r.sealed))
 	to.addBytes(r.body)
 	for position, place := range r.slots {
 		same := m.entries[modelKeys[position]].Revision == place.revision
-		to.add(asInt(same), int(place.sequence), len(place.digests))
+		to.add(boolToInt(same), int(place.sequence), len(place.digests))
 	}
 	to.add(len(r.index))
 	for _, current := range r.index {
-		to.add(int(current.sequence), int(max(0, current.change-r.durable)))
+		to.add(int(current.sequence), int(max(0, current.change-r.durableChange)))
 		to.addBytes(current.encoded)
 	}
 	to.add(len(r.pending))
 	for _, waiting := range r.pending {
-		to.add(int(waiting.number - r.durable))
+		to.add(int(waiting.number - r.durableChange))
 		to.addBytes(waiting.encoded)
 	}
 }
@@ -207,13 +204,13 @@
 	to.add(int(request.state))
 	switch request.state {
 	case requestIdle:
-		to.add(request.tries, asInt(request.uncertain))
+		to.add(request.tries, boolToInt(request.uncertain))
 	case requestWaiting:
 		r := m.nodes[request.holder].ring
 		dropped := r == nil || r.epoch != request.term
-		to.add(request.tries, request.holder, asInt(dropped))
+		to.add(request.tries, request.holder, boolToInt(dropped))
 		if !dropped {
-			to.add(int(max(0, request.change-r.durable)), int(request.decision.Verdict), len(request.decision.Refused))
+			to.add(int(max(0, request.change-r.durableChange)), int(request.decision.Verdict), len(request.decision.Refused))
 		}
 	case requestSent, requestAbandoned:
 		to.add(request.finishes)
@@ -227,12 +224,11 @@
 	})
 }
 
-// writeID returns an id that differs for different writes and depends on
-// nothing but the state.
+// writeID returns a deterministic ID that differs between different writes.
 func (m *modelState) writeID(node int) uuid.UUID {
 	r := m.nodes[node].ring
 	sum := sha256.New()
-	fmt.Fprint(sum, node, r.epoch, r.tail, r.durable, r.last, m.revision)
+	fmt.Fprint(sum, node, r.epoch, r.tail, r.durableChange, r.lastChange, m.revision)
 	return uuid.UUID(sum.Sum(nil)[:16])
 }
 
--- a/internal/claim/node.go
+++ b/internal/claim/node.go
@@ -12,21 +12,21 @@
 	"galenatrestle/internal/refusal"
 )
 
-// Node is one node's ledger: it holds some of the shards and forwards the rest
-// to their holders. It implements Ledger.
+// Node is the ledger of one node: it holds some of the shards and forwards requests for
+// the others to their holders. It implements Ledger.
 type Node struct {
-	options      Options
-	boot         uuid.UUID
-	boots        *boots
-	metrics      *metrics
-	shards       []*shard
-	shardHolders []*shardHolder
-	unfinished   *unfinished
+	options       Options
+	boot          uuid.UUID
+	boots         *bootTracker
+	metrics       *metrics
+	shards        []*shard
+	leaseManagers []*leaseManager
+	outcomes      *outcomeQueue
 }
 
 var _ Ledger = (*Node)(nil)
 
-// NewNode returns a ledger that serves once Run runs.
+// NewNode returns a ledger that serves requests while Run runs.
 func NewNode(options Options) (*Node, error) {
 	options = options.withDefaults()
 	boot, err := uuid.NewV7()
@@ -35,31 +35,31 @@
 	}
 	n := &Node{
 		options: options, boot: boot,
-		boots:      newBoots(options.View),
-		metrics:    newMetrics(options.Registerer),
-		unfinished: newUnfinished(options.MaxQueuedOutcomes),
+		boots:    newBootTracker(options.View),
+		metrics:  newMetrics(options.Registerer),
+		outcomes: newOutcomeQueue(options.MaxQueuedOutcomes),
 	}
 	for number := range options.Policy.Shards {
-		part := newShard(number, options, n.metrics)
-		n.shards = append(n.shards, part)
-		n.shardHolders = append(n.shardHolders, newShardHolder(part, options))
+		localShard := newShard(number, options, n.metrics)
+		n.shards = append(n.shards, localShard)
+		n.leaseManagers = append(n.leaseManagers, newLeaseManager(localShard, options))
 	}
 	return n, nil
 }
 
-// Run holds shards and records outcomes until ctx ends. Then it writes what
-// waits and hands its shards on.
+// Run holds shards and records outcomes until ctx ends. It then writes pending changes
+// and releases its shards.
 func (n *Node) Run(ctx context.Context) error {
-	tending, stop := context.WithCancel(context.WithoutCancel(ctx))
+	holdCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var group errgroup.Group
-	for _, shardHolder := range n.shardHolders {
+	for _, manager := range n.leaseManagers {
 		group.Go(func() error {
-			shardHolder.run(tending)
+			manager.run(holdCtx)
 			return nil
 		})
 	}
-	n.recordUnfinished(ctx)
+	n.recordQueuedOutcomes(ctx)
 	stop()
 	return group.Wait()
 }
@@ -80,14 +80,14 @@
 		return BeginResult{}, refused
 	}
 	request := n.newRequest(key, content)
-	within, cancel := context.WithTimeout(ctx, n.options.BeginTimeout)
+	beginCtx, cancel := context.WithTimeout(ctx, n.options.BeginTimeout)
 	defer cancel()
-	reply, err := n.settleBegin(within, request)
+	reply, err := n.retryBegin(beginCtx, request)
 	if err != nil {
-		return BeginResult{}, gaveUp(ctx, err)
+		return BeginResult{}, unsettledRefusal(ctx, err)
 	}
 	if reply.Refused != "" {
-		return BeginResult{}, refusedBy(reply.Refused, key)
+		return BeginResult{}, holderRefusal(reply.Refused, key)
 	}
 	grant := BeginResult{Verdict: reply.Verdict, Answer: reply.Answer}
 	if reply.Verdict == Run {
@@ -96,17 +96,16 @@
 	return grant, nil
 }
 
-// newRequest is a request to claim the key for a new attempt of this process.
 func (n *Node) newRequest(key Key, content Fingerprint) BeginRequest {
 	return BeginRequest{
 		Key: key, CallFingerprint: content, Attempt: uuid.New(),
-		Node: processNode(n.options.View.Self()), Boot: n.boot,
+		Node: claimNodeName(n.options.View.Self()), Boot: n.boot,
 	}
 }
 
-// settleBegin asks until the holder has answered or ctx ends. An attempt whose
-// claim may have been made is released in the background: it sends nothing.
-func (n *Node) settleBegin(ctx context.Context, request BeginRequest) (BeginReply, error) {
+// retryBegin retries until a holder responds or ctx ends. If the claim may have been
+// made by then, it is released in the background, since the attempt sends nothing.
+func (n *Node) retryBegin(ctx context.Context, request BeginRequest) (BeginReply, error) {
 	uncertain := false
 	var remembered BeginReply
 	for {
@@ -129,37 +128,38 @@
 	}
 }
 
-// abandon gives the attempt up for good.
+// abandon releases the claim that the attempt may have made.
 func (n *Node) abandon(request BeginRequest) {
 	n.metrics.abandoned.Inc()
-	n.soon(FinishRequest{Key: request.Key, Attempt: request.Attempt, Phase: phaseReleased})
+	n.queueOutcomeAndWake(FinishRequest{Key: request.Key, Attempt: request.Attempt, Phase: phaseReleased})
 }
 
-// gaveUp is the refusal of a claim that was not settled in time. This request
-// was not sent, but no holder has said that no earlier one of its key was: its
-// caller reads the answer for the call, so that it must be unknown.
-func gaveUp(caller context.Context, cause error) *refusal.Error {
+// unsettledRefusal returns the refusal for a claim that was not decided in time. This
+// request was not sent, but an earlier one with the same key may have run, so the
+// outcome is unknown.
+func unsettledRefusal(caller context.Context, cause error) *refusal.Error {
 	if errors.Is(caller.Err(), context.Canceled) {
-		refused := refusal.New(refusal.CallerGone, stepClaim, "the caller went away before the call was claimed")
+		refused := refusal.New(refusal.CallerGone, stepClaim, "the caller disconnected before the call was claimed")
 		refused.Outcome, refused.Cause = refusal.Unknown, cause
 		return refused
 	}
 	refused := refusal.New(refusal.ClaimStoreDown, stepClaim,
-		"the call could not be claimed in time; it was not sent now, an earlier request with its key may have run")
+		"the call could not be claimed in time and was not sent; an earlier request with its key may have run")
 	refused.Outcome, refused.Cause = refusal.Unknown, cause
-	refused.RetryAfter = retryAfter
+	refused.RetryAfter = unavailableRetryAfter
 	return refused
 }
 
-// The pauses told to callers where the ledger is down and where it is full.
+// Retry delays for callers when the ledger is unavailable and when it is full.
 const (
-	retryAfter     = time.Second
-	fullRetryAfter = 30 * time.Second
+	unavailableRetryAfter = time.Second
+	fullRetryAfter        = 30 * time.Second
 )
 
-// refusedBy is the refusal that the holder gave. It knows all claims of the
-// shard: where it refuses a new one, no earlier request of the key has run.
-func refusedBy(reason refusal.Reason, key Key) *refusal.Error {
+// holderRefusal returns the refusal for a reason given by the holder. The holder knows
+// all claims of the shard: if it refuses a new one, no earlier request with the key has
+// run.
+func holderRefusal(reason refusal.Reason, key Key) *refusal.Error {
 	switch reason {
 	case refusal.IdempotencyReuse:
 		refused := refusal.New(reason, stepClaim, "the key was used with another method, path or body")
@@ -170,7 +170,7 @@
 		refused.RetryAfter = fullRetryAfter
 		return refused
 	}
-	refused := refusal.New(refusal.ClaimStoreDown, stepClaim, "the platform does not take claims now")
-	refused.RetryAfter = retryAfter
+	refused := refusal.New(refusal.ClaimStoreDown, stepClaim, "the platform does not accept claims at present")
+	refused.RetryAfter = unavailableRetryAfter
 	return refused
 }
--- a/internal/claim/options.go
+++ b/internal/claim/options.go
@@ -14,46 +14,46 @@
 	"galenatrestle/internal/platform"
 )
 
-// Options are what a node's ledger is built from.
+// Options configure a Node.
 type Options struct {
 	Policy Policy
 	Store  platform.Store
 	Leases Leases
-	// View names this node, the live nodes and the preferred holders.
+	// View returns this node, the live nodes and the preferred holders.
 	View  membership.View
 	Peers Peers
-	// Registerer takes the counters.
+	// Registerer registers the ledger's metrics.
 	Registerer prometheus.Registerer
 	Log        logrus.FieldLogger
-	// Random jitters retries.
+	// Random is the source of retry jitter.
 	Random *rand.Rand
 
-	// WritesPerSecond bounds the platform writes of all shards together.
+	// WritesPerSecond limits the platform writes of all shards together.
 	WritesPerSecond float64
-	// FlushInterval is the mean time between two writes of a busy shard while
-	// fewer than GatherBytes wait. Negative: none.
+	// FlushInterval is the mean time between two writes of a busy shard while fewer than
+	// FlushBytes are pending. A negative value disables the delay.
 	FlushInterval time.Duration
-	// FlushBytes is how many bytes of changes are written without waiting for
-	// GatherTime.
+	// FlushBytes is the size of pending changes that are written without waiting for
+	// FlushInterval.
 	FlushBytes int
-	// BeginTimeout bounds one Begin where its context does not.
+	// BeginTimeout limits one Begin, in addition to its context.
 	BeginTimeout time.Duration
-	// CallTimeout bounds one call to the platform or a peer.
+	// CallTimeout limits one call to the platform or a peer.
 	CallTimeout time.Duration
-	// RetryInterval is the mean pause between tries.
+	// RetryInterval is the mean pause between retries.
 	RetryInterval time.Duration
-	// CheckInterval is the pause between looks at which shards to hold.
+	// CheckInterval is the mean time between checks of which shards to hold, and between
+	// retries of queued outcomes.
 	CheckInterval time.Duration
-	// MaxPending bounds the changes that wait for a write in one shard.
+	// MaxPending limits the changes of one shard that wait to be written.
 	MaxPending int
-	// MaxQueuedOutcomes bounds the outcomes that wait to be recorded in the
-	// background.
+	// MaxQueuedOutcomes limits the outcomes queued for recording in the background.
 	MaxQueuedOutcomes int
 
-	jitters *jitters
+	jitter *jitterSource
 }
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultWritesPerSecond   = 200
 	DefaultFlushInterval     = 40 * time.Millisecond
@@ -66,16 +66,15 @@
 	DefaultMaxQueuedOutcomes = 10_000
 )
 
-// writeBurst is the number of writes a shard may make at once when it has been
-// idle.
+// writeBurst is the number of writes that an idle shard may send without rate limiting.
 const writeBurst = 4
 
-// gatherBurst is the number of writes that an idle shard makes at once without
-// gathering: one for a claim and one for its end.
-const gatherBurst = 2
+// flushBurst is the number of writes that an idle shard sends without batching: one for
+// a claim and one for its outcome.
+const flushBurst = 2
 
-// gatherLimit returns the writes a second of a shard that gathers.
-func (o Options) gatherLimit() rate.Limit {
+// flushLimit returns the rate limit of FlushInterval for one shard.
+func (o Options) flushLimit() rate.Limit {
 	if o.FlushInterval < 0 {
 		return rate.Inf
 	}
@@ -105,6 +104,6 @@
 		seed := uuid.New()
 		o.Random = rand.New(rand.NewChaCha8([32]byte(append(seed[:], seed[:]...))))
 	}
-	o.jitters = &jitters{random: o.Random}
+	o.jitter = &jitterSource{random: o.Random}
 	return o
 }
--- a/internal/claim/outage_test.go
+++ b/internal/claim/outage_test.go
@@ -9,91 +9,92 @@
 	"galenatrestle/internal/refusal"
 )
 
-// TestPlatformDown takes the platform away at each step of a call.
+// TestPlatformDown starts a platform outage at each step of a call.
 func TestPlatformDown(t *testing.T) {
 	cases := []struct {
 		name string
-		// down is when the outage begins; lapsed lets the leases end in it.
+		// down is the step at which the outage begins; lapsed means that the leases
+		// expire during it.
 		down    step
 		lapsed  bool
-		first   told
-		during  []told
+		first   callResult
+		during  []callResult
 		runs    int
-		forever told
+		forever callResult
 	}{
-		{"before the claim", stepBeforeClaim, false, toldUnknown, []told{toldNotRun}, 0, toldRan},
-		// A holder that lost its lease can't know whether its last write took
-		// effect, nor take the release: in progress is all it can say of it.
-		{"before the claim, leases lapsed", stepBeforeClaim, true, toldUnknown, []told{toldInProgress, toldUnknown}, 0, toldRan},
-		{"before the record", stepAfterSend, false, toldRan, []told{toldInProgress}, 1, toldRecorded},
-		{"before the record, leases lapsed", stepAfterSend, true, toldRan, []told{toldInProgress}, 1, toldRecorded},
-		{"after the record", stepAfterRecord, false, toldRan, []told{toldRecorded}, 1, toldRecorded},
-		{"after the record, leases lapsed", stepAfterRecord, true, toldRan, []told{toldRecorded}, 1, toldRecorded},
+		{"before the claim", stepBeforeClaim, false, resultUnknown, []callResult{resultNotRun}, 0, resultRan},
+		// A holder that lost its lease cannot know whether its last write took effect,
+		// and cannot process the release, so it returns in progress.
+		{"before the claim, leases lapsed", stepBeforeClaim, true, resultUnknown, []callResult{resultInProgress, resultUnknown}, 0, resultRan},
+		{"before the record", stepAfterSend, false, resultRan, []callResult{resultInProgress}, 1, resultRecorded},
+		{"before the record, leases lapsed", stepAfterSend, true, resultRan, []callResult{resultInProgress}, 1, resultRecorded},
+		{"after the record", stepAfterRecord, false, resultRan, []callResult{resultRecorded}, 1, resultRecorded},
+		{"after the record, leases lapsed", stepAfterRecord, true, resultRan, []callResult{resultRecorded}, 1, resultRecorded},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
-				begin := func(at step) {
+			withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+				startOutageAt := func(at step) {
 					if at == test.down {
 						c.store.setDown(true)
 						if test.lapsed {
-							c.lapse(true)
+							c.expireLeases(true)
 						}
 					}
 				}
-				c.ends = func() OutcomeKind {
-					begin(stepAfterSend)
+				c.nextOutcome = func() OutcomeKind {
+					startOutageAt(stepAfterSend)
 					return OutcomeRecorded
 				}
-				begin(stepBeforeClaim)
-				expectTold(t, "the first", c.call(t, nodes[1], oneKey, "body", stepNone), test.first)
-				begin(stepAfterRecord)
-				// The release of a claim that was given up reaches the holder.
+				startOutageAt(stepBeforeClaim)
+				expectResult(t, "the first", c.call(t, nodes[1], testKey, "body", stepNone), test.first)
+				startOutageAt(stepAfterRecord)
+				// Wait until the release of the abandoned claim reaches the holder.
 				time.Sleep(100 * time.Millisecond)
 				for _, node := range nodes {
-					expectOneOf(t, c.call(t, node, oneKey, "body", stepNone), test.during)
+					expectOneOf(t, c.call(t, node, testKey, "body", stepNone), test.during)
 				}
-				expectRuns(t, c, oneKey, test.runs)
+				expectRuns(t, c, testKey, test.runs)
 				c.store.setDown(false)
-				settle()
-				expectTold(t, "a repeat afterwards", c.call(t, nodes[2], oneKey, "body", stepNone), test.forever)
-				expectRuns(t, c, oneKey, 1)
+				waitUntilSettled()
+				expectResult(t, "a repeat afterwards", c.call(t, nodes[2], testKey, "body", stepNone), test.forever)
+				expectRuns(t, c, testKey, 1)
 			})
 		})
 	}
 }
 
-func expectOneOf(t *testing.T, got told, allowed []told) {
+func expectOneOf(t *testing.T, got callResult, allowed []callResult) {
 	t.Helper()
 	for _, want := range allowed {
 		if got == want {
 			return
 		}
 	}
-	t.Errorf("a repeat in the outage was told %q, want one of %q", got, allowed)
+	t.Errorf("a repeat during the outage got %q, want one of %q", got, allowed)
 }
 
-// TestStuckWriteRefusesAtOnce refuses new claims without waiting while the
-// write under way gets no answer.
+// New claims must be refused without waiting while the platform does not respond to the
+// current write.
 func TestStuckWriteRefusesAtOnce(t *testing.T) {
-	within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+	withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
 		c.store.setDown(true)
-		expectTold(t, "the first", c.call(t, nodes[0], oneKey, "body", stepNone), toldUnknown)
+		expectResult(t, "the first", c.call(t, nodes[0], testKey, "body", stepNone), resultUnknown)
 		before := time.Now()
 		_, err := nodes[0].Begin(t.Context(), keyNumber(1), Fingerprint{})
 		if took := time.Since(before); took != 0 {
-			t.Errorf("the second waited %v", took)
+			t.Errorf("the second call waited %v", took)
 		}
 		if refused := refusal.From(err); refused.Reason != refusal.ClaimStoreDown || refused.Outcome != refusal.NotRun {
-			t.Errorf("the second got %v", refused)
+			t.Errorf("the second call got %v", refused)
 		}
 		c.store.setDown(false)
-		settle()
+		waitUntilSettled()
 	})
 }
 
-// TestLedgerFull fills the shard through the nodes, and waits until what it
-// holds has expired.
+// A full ledger must refuse new claims and accept them again after the old ones have
+// expired.
 func TestLedgerFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
@@ -105,7 +106,7 @@
 			options.Policy.KeyRetention = time.Minute
 		}
 		nodes := []*testNode{c.start(t, "n1", small), c.start(t, "n2", small)}
-		settle()
+		waitUntilSettled()
 		ran, number := 0, 0
 		for ; number < 10_000; number++ {
 			_, err := nodes[1].Begin(t.Context(), keyNumber(number), Fingerprint{})
@@ -125,11 +126,11 @@
 		for range 30 {
 			number++
 			got := c.call(t, nodes[1], keyNumber(number), fmt.Sprint(number), stepNone)
-			taken = taken || got == toldRan
+			taken = taken || got == resultRan
 			time.Sleep(2 * time.Second)
 		}
 		if !taken {
-			t.Error("the ledger took nothing after what it held had expired")
+			t.Error("the ledger accepted no claims after the old ones had expired")
 		}
 		for _, node := range nodes {
 			node.stop()
@@ -138,37 +139,36 @@
 	})
 }
 
-// TestHandOn stops the holder as planned: what waits is written, and the lease
-// is free at once.
-func TestHandOn(t *testing.T) {
-	within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
-		expectTold(t, "the first", c.call(t, nodes[0], oneKey, "body", stepNone), toldRan)
+// A planned stop of the holder writes pending changes and releases the lease
+// immediately.
+func TestPlannedHandover(t *testing.T) {
+	withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+		expectResult(t, "the first", c.call(t, nodes[0], testKey, "body", stepNone), resultRan)
 		nodes[0].stop()
 		<-nodes[0].done
 		c.kill(nodes[0])
-		c.prefer("n2")
+		c.setPreferred("n2")
 		before := time.Now()
-		expectTold(t, "the repeat", c.call(t, nodes[2], oneKey, "body", stepNone), toldRecorded)
+		expectResult(t, "the repeat", c.call(t, nodes[2], testKey, "body", stepNone), resultRecorded)
 		if took := time.Since(before); took > DefaultBeginTimeout {
-			t.Errorf("the hand-on took %v", took)
+			t.Errorf("the handover took %v", took)
 		}
 	})
 }
 
-// TestRepeatWithoutAHolder repeats a call that has run where nobody who knows it
-// can be reached: it is never told not-run.
-func TestRepeatWithoutAHolder(t *testing.T) {
-	within(t, func(t *testing.T, c *cluster, nodes []*testNode) {
-		expectTold(t, "the first", c.call(t, nodes[1], oneKey, "body", stepNone), toldRan)
+// A repeat of a call that ran must never get not-run while its holder cannot be reached.
+func TestRepeatWhileHolderIsUnreachable(t *testing.T) {
+	withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
+		expectResult(t, "the first", c.call(t, nodes[1], testKey, "body", stepNone), resultRan)
 		c.store.setDown(true)
 		c.kill(nodes[0])
 		for _, node := range nodes[1:] {
-			expectTold(t, "a repeat", c.call(t, node, oneKey, "body", stepNone), toldUnknown)
+			expectResult(t, "a repeat", c.call(t, node, testKey, "body", stepNone), resultUnknown)
 		}
 		c.store.setDown(false)
-		c.prefer("n2")
-		settle()
-		expectTold(t, "a repeat afterwards", c.call(t, nodes[2], oneKey, "body", stepNone), toldRecorded)
-		expectRuns(t, c, oneKey, 1)
+		c.setPreferred("n2")
+		waitUntilSettled()
+		expectResult(t, "a repeat afterwards", c.call(t, nodes[2], testKey, "body", stepNone), resultRecorded)
+		expectRuns(t, c, testKey, 1)
 	})
 }
--- a/internal/claim/outcome.go
+++ b/internal/claim/outcome.go
@@ -1,21 +1,21 @@
 package claim
 
-// OutcomeKind says how a claimed call ended.
+// OutcomeKind classifies how a claimed call ended.
 type OutcomeKind int
 
 // The kinds of outcome.
 const (
-	// OutcomeRecorded is a whole answer of the upstream.
+	// OutcomeRecorded means that the upstream returned a complete answer.
 	OutcomeRecorded OutcomeKind = iota + 1
-	// OutcomeReleased is a call proved not run; a repeat may run.
+	// OutcomeReleased means that the call certainly did not run; a repeat may run.
 	OutcomeReleased
-	// OutcomeUnknown is a call of which a byte may have arrived.
+	// OutcomeUnknown means that part of the call may have reached the upstream.
 	OutcomeUnknown
 )
 
-// Outcome ends a claim.
+// Outcome describes how a claimed call ended.
 type Outcome struct {
 	Kind OutcomeKind
-	// Answer is set for OutcomeRecorded only.
+	// Answer is set only for OutcomeRecorded.
 	Answer Answer
 }
--- a/internal/claim/pause.go
+++ b/internal/claim/pause.go
@@ -9,21 +9,20 @@
 	"galenatrestle/internal/ctxtime"
 )
 
-// jitters spreads pauses; it is safe for concurrent use.
-type jitters struct {
+// jitterSource randomizes pauses. It is safe for concurrent use.
+type jitterSource struct {
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
-// around returns a duration between half and one and a half of mean.
-func (j *jitters) around(mean time.Duration) time.Duration {
+// around returns a random duration between 0.5 and 1.5 times mean.
+func (j *jitterSource) around(mean time.Duration) time.Duration {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return mean/2 + time.Duration(j.random.Int64N(int64(mean)+1))
 }
 
-// pause waits between half and one and a half retry intervals. It returns false
-// when ctx ended first.
+// pause waits between 0.5 and 1.5 retry intervals. It returns false if ctx ends first.
 func pause(ctx context.Context, options Options) bool {
-	return ctxtime.Sleep(ctx, options.jitters.around(options.RetryInterval)) == nil
+	return ctxtime.Sleep(ctx, options.jitter.around(options.RetryInterval)) == nil
 }
--- a/internal/claim/peers.go
+++ b/internal/claim/peers.go
@@ -9,32 +9,32 @@
 	"galenatrestle/internal/refusal"
 )
 
-// BeginRequest is a Begin as it goes to the shard's holder.
+// BeginRequest is a Begin sent to the shard's holder.
 type BeginRequest struct {
 	Key             Key
 	CallFingerprint Fingerprint
 	Attempt         uuid.UUID
 	Node            string
 	Boot            uuid.UUID
-	// KnownOnly asks what is known of the claim and makes none: the answer is
-	// then QuotaExceeded.
+	// KnownOnly requests the existing claim without making a new one. If there is none,
+	// the reply is refused with QuotaExceeded.
 	KnownOnly bool
 }
 
-// BeginReply is the answer of the node asked: a verdict or a refusal.
+// BeginReply is the reply to a BeginRequest: a verdict or a refusal.
 type BeginReply struct {
 	Verdict Verdict
 	Answer  Answer
-	// Refused is why nothing was claimed.
+	// Refused is the reason why no claim was made.
 	Refused refusal.Reason
-	// NotHolder says that the receiver does not hold the shard; Hint tells who
-	// does. A verdict is then what it remembers of an earlier term, to be told
-	// only where no holder can be asked.
+	// NotHolder reports that the receiver does not hold the shard; Hint names the
+	// holder. A verdict then reflects an earlier term and may be used only if no holder
+	// can be reached.
 	NotHolder bool
 	Hint      Hint
 }
 
-// orElse returns the reply, or the other where this one says nothing.
+// orElse returns the reply, or other if the reply has neither verdict nor refusal.
 func (r BeginReply) orElse(other BeginReply) BeginReply {
 	if r.Verdict == 0 && r.Refused == "" {
 		return other
@@ -42,7 +42,7 @@
 	return r
 }
 
-// FinishRequest is a Finish as it goes to the shard's holder.
+// FinishRequest is a Finish sent to the shard's holder.
 type FinishRequest struct {
 	Key     Key
 	Attempt uuid.UUID
@@ -50,18 +50,18 @@
 	Answer  *claimv1.Answer
 }
 
-// FinishReply is the holder's answer.
+// FinishReply is the reply to a FinishRequest.
 type FinishReply struct {
-	// NotHolder says that the receiver does not hold the shard; Hint tells who
-	// does.
+	// NotHolder reports that the receiver does not hold the shard; Hint names the
+	// holder.
 	NotHolder bool
 	Hint      Hint
 }
 
-// Peers calls other nodes by their peer address.
+// Peers sends requests to other nodes by their peer address.
 type Peers interface {
-	// Begin forwards a claim; after an error it may or may not have been made.
+	// Begin forwards a claim. After an error it may or may not have been made.
 	Begin(ctx context.Context, address string, request BeginRequest) (BeginReply, error)
-	// Finish forwards an outcome; after an error it may or may not be durable.
+	// Finish forwards an outcome. After an error it may or may not be durable.
 	Finish(ctx context.Context, address string, request FinishRequest) (FinishReply, error)
 }
--- a/internal/claim/policy.go
+++ b/internal/claim/policy.go
@@ -2,30 +2,28 @@
 
 import "time"
 
-// Policy bounds what a ledger keeps. All nodes must run with the same Shards
-// and Segments.
+// Policy sets the capacity and retention of a ledger. Shards and Segments must be the
+// same on all nodes.
 type Policy struct {
-	// Shards is the number of shards the keys are spread over.
+	// Shards is the number of shards over which keys are distributed.
 	Shards int
 	// Segments is the number of platform keys in a shard's ring.
 	Segments int
 	// SegmentBytes is the size at which a segment is sealed.
 	SegmentBytes int
-	// MaxAnswerBytes bounds the recorded body and headers of one call; a
-	// larger body is dropped and the status kept.
+	// MaxAnswerBytes limits the encoded answer of one call. Of a larger answer only the
+	// status is kept.
 	MaxAnswerBytes int
-	// AnswerRetention is how long a recorded body is kept. Afterwards an ended
-	// claim is a short record.
+	// AnswerRetention is how long a recorded body is kept. After that, an ended claim is
+	// stored as a short record.
 	AnswerRetention time.Duration
-	// KeyRetention is how long an ended claim is known; a repeat that comes
-	// later runs again.
+	// KeyRetention is how long an ended claim is kept; a later repeat runs again.
 	KeyRetention time.Duration
-	// InProgressLimit is the age at which a claim that was not finished is
-	// taken as unknown.
+	// InProgressLimit is the age at which an unfinished claim becomes unknown.
 	InProgressLimit time.Duration
 }
 
-// The defaults of Policy.
+// Defaults of Policy.
 const (
 	DefaultShards          = 4
 	DefaultSegments        = 512
@@ -36,19 +34,19 @@
 	DefaultInProgressLimit = 15 * time.Minute
 )
 
-// The parts of a shard's capacity past which the ring moves on of itself to
-// drop what has expired, claims are refused, and bodies are no longer kept. The
-// rest is room for finishing what is claimed.
+// Fractions of a shard's capacity above which the ring is compacted, new claims are
+// refused, and answers are recorded without bodies. The remaining capacity is reserved
+// for finishing existing claims.
 const (
-	compactPart  = 0.50
-	fullPart     = 0.70
-	bodyFreePart = 0.80
+	compactFraction  = 0.50
+	fullFraction     = 0.70
+	dropBodyFraction = 0.80
 )
 
-// fillWarning is the fill from which operators are warned.
+// fillWarning is the fill at which a warning is logged.
 const fillWarning = 0.6
 
-// DefaultPolicy returns the defaults.
+// DefaultPolicy returns the default policy.
 func DefaultPolicy() Policy {
 	return Policy{
 		Shards:          DefaultShards,
@@ -61,5 +59,4 @@
 	}
 }
 
-// capacity returns the bytes a shard's ring holds.
 func (p Policy) capacity() int { return p.Segments * p.SegmentBytes }
--- a/internal/claim/random_test.go
+++ b/internal/claim/random_test.go
@@ -9,85 +9,83 @@
 	"time"
 )
 
-// The size of the random run.
 const (
 	randomCallers = 40
 	randomKeys    = 2_500
-	// randomRepeats is how many requests are made with each key.
+	// randomRepeats is the number of requests per key.
 	randomRepeats = 4
 )
 
-// dice is a seeded source that many goroutines share.
-type dice struct {
+// lockedRand is a seeded random source that is safe for concurrent use.
+type lockedRand struct {
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
-func (d *dice) below(n int) int {
+func (d *lockedRand) intN(n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.random.IntN(n)
 }
 
-// oneIn is true once in n.
-func (d *dice) oneIn(n int) bool { return d.below(n) == 0 }
+// oneIn returns true with probability 1/n.
+func (d *lockedRand) oneIn(n int) bool { return d.intN(n) == 0 }
 
-// chaos injects one random fault after another until stop is closed.
-type chaos struct {
+// faultInjector injects random faults one after another until stop is closed.
+type faultInjector struct {
 	c     *cluster
-	dice  *dice
+	dice  *lockedRand
 	names []string
 	count map[string]int
 }
 
-func (x *chaos) run(t *testing.T, stop <-chan struct{}) {
+func (x *faultInjector) run(t *testing.T, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			x.c.store.setDown(false)
 			return
-		case <-time.After(time.Duration(50+x.dice.below(400)) * time.Millisecond):
+		case <-time.After(time.Duration(50+x.dice.intN(400)) * time.Millisecond):
 		}
 		x.inject(t)
 	}
 }
 
-func (x *chaos) inject(t *testing.T) {
-	name := x.names[x.dice.below(len(x.names))]
-	switch x.dice.below(6) {
+func (x *faultInjector) inject(t *testing.T) {
+	name := x.names[x.dice.intN(len(x.names))]
+	switch x.dice.intN(6) {
 	case 0:
 		x.count["restart"]++
 		x.restart(t, name)
 	case 1:
 		x.count["outage"]++
 		x.c.store.setDown(true)
-		time.Sleep(time.Duration(x.dice.below(4000)) * time.Millisecond)
+		time.Sleep(time.Duration(x.dice.intN(4000)) * time.Millisecond)
 		x.c.store.setDown(false)
 	case 2:
-		x.count["lease lapsed, holder told"]++
-		x.c.lapse(true)
+		x.count["lease expired, holder notified"]++
+		x.c.expireLeases(true)
 	case 3:
-		x.count["lease lapsed, holder not told"]++
-		x.c.lapse(false)
+		x.count["lease expired, holder not notified"]++
+		x.c.expireLeases(false)
 	case 4:
 		x.count["owner moved"]++
-		x.c.prefer(name)
+		x.c.setPreferred(name)
 	case 5:
 		x.count["late writes"]++
 		x.c.store.deliverLate()
 	}
 }
 
-// restart kills a node and starts another process of its name.
-func (x *chaos) restart(t *testing.T, name string) {
+func (x *faultInjector) restart(t *testing.T, name string) {
 	old := x.c.node(name)
 	x.c.kill(old)
 	old.stop()
-	time.Sleep(time.Duration(x.dice.below(500)) * time.Millisecond)
+	time.Sleep(time.Duration(x.dice.intN(500)) * time.Millisecond)
 	x.c.start(t, name, smallRing)
 }
 
-// smallRing makes the run go round the rings many times.
+// smallRing makes the rings wrap around many times during the run.
 func smallRing(options *Options) {
 	options.Policy.Shards = 2
 	options.Policy.Segments = 64
@@ -100,45 +98,45 @@
 	return c.nodes[name]
 }
 
-// TestRandomFaults makes 10,000 calls under random faults and compares what
-// the callers were told with the list of calls sent.
+// TestRandomFaults makes 10,000 calls under random faults and compares the callers'
+// results with the calls that ran.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { randomRun(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runRandomFaults(t, seed) })
 		})
 	}
 }
 
-func randomRun(t *testing.T, seed uint64) {
-	d := &dice{random: rand.New(rand.NewPCG(seed, 7))}
+func runRandomFaults(t *testing.T, seed uint64) {
+	d := &lockedRand{random: rand.New(rand.NewPCG(seed, 7))}
 	c := newCluster()
 	c.store.latency = 3 * time.Millisecond
 	c.cutBefore = func() bool { return d.oneIn(50) }
 	c.cutAfter = func() bool { return d.oneIn(50) }
-	c.ends = func() OutcomeKind {
-		return []OutcomeKind{OutcomeReleased, OutcomeUnknown, OutcomeRecorded, OutcomeRecorded, OutcomeRecorded}[d.below(5)]
+	c.nextOutcome = func() OutcomeKind {
+		return []OutcomeKind{OutcomeReleased, OutcomeUnknown, OutcomeRecorded, OutcomeRecorded, OutcomeRecorded}[d.intN(5)]
 	}
 	c.store.setFault(func(string) fault {
 		if d.oneIn(10) {
-			return []fault{faultDown, faultLost, faultLate}[d.below(3)]
+			return []fault{faultDown, faultLost, faultLate}[d.intN(3)]
 		}
 		return faultNone
 	})
-	x := &chaos{c: c, dice: d, names: []string{"n1", "n2", "n3", "n4"}, count: make(map[string]int)}
+	x := &faultInjector{c: c, dice: d, names: []string{"n1", "n2", "n3", "n4"}, count: make(map[string]int)}
 	for _, name := range x.names {
 		c.start(t, name, smallRing)
 	}
-	settle()
+	waitUntilSettled()
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
 		x.run(t, stop)
 	}()
-	tellings := callAll(t, x)
+	results := makeCalls(t, x)
 	close(stop)
 	<-stopped
-	c.checkTruth(t, tellings)
+	c.checkResults(t, results)
 	t.Logf("%v", x.count)
 	for _, name := range x.names {
 		node := c.node(name)
@@ -147,21 +145,20 @@
 	}
 }
 
-// callAll makes all calls from many callers at once and returns what was told
-// for each key.
-func callAll(t *testing.T, x *chaos) map[Key][]told {
+// makeCalls makes all calls from concurrent callers and returns the results by key.
+func makeCalls(t *testing.T, x *faultInjector) map[Key][]callResult {
 	var mu sync.Mutex
-	tellings := make(map[Key][]told)
+	results := make(map[Key][]callResult)
 	work := make(chan Key)
 	var group sync.WaitGroup
 	for range randomCallers {
 		group.Go(func() {
 			for key := range work {
-				time.Sleep(time.Duration(x.dice.below(100)) * time.Millisecond)
-				node := x.c.node(x.names[x.dice.below(len(x.names))])
+				time.Sleep(time.Duration(x.dice.intN(100)) * time.Millisecond)
+				node := x.c.node(x.names[x.dice.intN(len(x.names))])
 				got := x.c.call(t, node, key, key.IdempotencyKey, stepNone)
 				mu.Lock()
-				tellings[key] = append(tellings[key], got)
+				results[key] = append(results[key], got)
 				mu.Unlock()
 			}
 		})
@@ -175,37 +172,37 @@
 	}
 	close(work)
 	group.Wait()
-	return tellings
+	return results
 }
 
-// checkTruth compares the tellings with the calls sent.
-func (c *cluster) checkTruth(t *testing.T, tellings map[Key][]told) {
+// checkResults compares the callers' results with the calls that ran.
+func (c *cluster) checkResults(t *testing.T, results map[Key][]callResult) {
 	t.Helper()
 	calls, twice := 0, 0
-	counts := make(map[told]int)
-	for key, all := range tellings {
+	counts := make(map[callResult]int)
+	for key, all := range results {
 		calls += len(all)
 		runs := c.runs(key)
 		if runs > 1 {
 			twice++
 		}
-		only := make(map[told]bool)
+		only := make(map[callResult]bool)
 		for _, got := range all {
 			counts[got]++
 			only[got] = true
 		}
-		if len(only) == 1 && only[toldNotRun] && runs != 0 {
-			t.Errorf("%v ran though every request was told not-run", key)
+		if len(only) == 1 && only[resultNotRun] && runs != 0 {
+			t.Errorf("%v ran although every request got not-run", key)
 		}
-		if (only[toldRecorded] || only[toldRan]) && runs != 1 {
-			t.Errorf("%v: told %v but ran %d times", key, all, runs)
+		if (only[resultRecorded] || only[resultRan]) && runs != 1 {
+			t.Errorf("%v: callers got %v but it ran %d times", key, all, runs)
 		}
 	}
 	if twice != 0 {
 		t.Errorf("%d calls ran twice", twice)
 	}
-	if calls != randomKeys*randomRepeats || counts[toldRan] < calls/20 || counts[toldNotRun] == 0 || counts[toldRecorded] == 0 {
-		t.Errorf("the run is too poor: %d calls, %v", calls, counts)
+	if calls != randomKeys*randomRepeats || counts[resultRan] < calls/20 || counts[resultNotRun] == 0 || counts[resultRecorded] == 0 {
+		t.Errorf("the run covers too few results: %d calls, %v", calls, counts)
 	}
-	t.Logf("%d calls, told %v", calls, counts)
+	t.Logf("%d calls, results %v", calls, counts)
 }
--- a/internal/claim/recover.go
+++ b/internal/claim/recover.go
@@ -11,27 +11,25 @@
 	"galenatrestle/internal/platform"
 )
 
-// segmentKey returns the platform key of a position in the ring.
 func segmentKey(prefix string, position int) string {
 	return fmt.Sprintf("%s%04d", prefix, position)
 }
 
-// shardPrefix returns the prefix of a shard's platform keys.
 func shardPrefix(number int) string { return fmt.Sprintf("claims/%04d/", number) }
 
-// found is a segment as read back.
-type found struct {
+// storedSegment is a segment read from the platform.
+type storedSegment struct {
 	position int
 	revision int64
 	segment  *claimv1.Segment
 }
 
-// recoverRing rebuilds a shard's ring from the platform's entries. The ring may
-// be used once its first write, the fence, has taken effect.
+// recoverRing rebuilds a shard's ring from the platform's entries. The ring may be used
+// only after its first write, which fences out the previous holder.
 func recoverRing(policy Policy, prefix, holder string, epoch int64, entries []platform.Entry) (*ring, error) {
 	r := &ring{
 		policy: policy, prefix: prefix, holder: holder, epoch: epoch,
-		index: make(map[digest]held), slots: make([]slot, policy.Segments), sealed: true,
+		index: make(map[digest]indexEntry), slots: make([]slot, policy.Segments), sealed: true,
 	}
 	segments, err := readSegments(r, entries)
 	if err != nil {
@@ -49,13 +47,13 @@
 	return r, nil
 }
 
-// readSegments decodes the entries, oldest segment first.
-func readSegments(r *ring, entries []platform.Entry) ([]found, error) {
+// readSegments decodes the entries and returns the segments by ascending sequence.
+func readSegments(r *ring, entries []platform.Entry) ([]storedSegment, error) {
 	positions := make(map[string]int, len(r.slots))
 	for position := range r.slots {
 		positions[segmentKey(r.prefix, position)] = position
 	}
-	segments := make([]found, 0, len(entries))
+	segments := make([]storedSegment, 0, len(entries))
 	for _, entry := range entries {
 		position, known := positions[entry.Key]
 		if !known {
@@ -65,56 +63,54 @@
 		if err := proto.Unmarshal(entry.Value, segment); err != nil {
 			return nil, fmt.Errorf("key %s: %w", entry.Key, err)
 		}
-		segments = append(segments, found{position: position, revision: entry.Revision, segment: segment})
+		segments = append(segments, storedSegment{position: position, revision: entry.Revision, segment: segment})
 	}
-	slices.SortFunc(segments, func(a, b found) int {
+	slices.SortFunc(segments, func(a, b storedSegment) int {
 		return cmp.Compare(a.segment.GetSequence(), b.segment.GetSequence())
 	})
 	return segments, nil
 }
 
-// replay takes in one segment.
-func (r *ring) replay(next found) error {
-	place := &r.slots[next.position]
-	place.revision = next.revision
-	place.sequence = next.segment.GetSequence()
-	r.tail = place.sequence
+func (r *ring) replay(next storedSegment) error {
+	segmentSlot := &r.slots[next.position]
+	segmentSlot.revision = next.revision
+	segmentSlot.sequence = next.segment.GetSequence()
+	r.tail = segmentSlot.sequence
 	r.sealed = next.segment.GetSealed()
 	for _, packed := range next.segment.GetShortRecords() {
-		if _, err := unpack(packed); err != nil {
+		if _, err := decodeShortRecord(packed); err != nil {
 			return err
 		}
-		r.found(place, digest(packed[:len(digest{})]), held{encoded: packed, short: true})
+		r.restore(segmentSlot, digest(packed[:len(digest{})]), indexEntry{encoded: packed, short: true})
 	}
 	for _, record := range next.segment.GetRecords() {
 		encoded, err := proto.Marshal(record)
 		if err != nil {
 			return err
 		}
-		r.found(place, digestOf(KeyFromProto(record.GetKey())), held{encoded: encoded})
+		r.restore(segmentSlot, digestOf(KeyFromProto(record.GetKey())), indexEntry{encoded: encoded})
 	}
 	return nil
 }
 
-// found takes in one state of a segment.
-func (r *ring) found(place *slot, id digest, state held) {
-	state.sequence = place.sequence
+func (r *ring) restore(segmentSlot *slot, id digest, state indexEntry) {
+	state.sequence = segmentSlot.sequence
 	r.replace(id, state)
-	place.digests = append(place.digests, id)
+	segmentSlot.digests = append(segmentSlot.digests, id)
 }
 
-// rebuildTail encodes the tail's records again, each claim once.
+// rebuildTail re-encodes the tail's records, with only the latest record of each claim.
 func (r *ring) rebuildTail() {
 	if r.sealed {
 		return
 	}
-	place := &r.slots[r.position(r.tail)]
+	segmentSlot := &r.slots[r.position(r.tail)]
 	kept := write{}
-	for _, id := range place.digests {
+	for _, id := range segmentSlot.digests {
 		if r.index[id].sequence == r.tail && !slices.Contains(kept.digests, id) {
 			kept.append(id, r.index[id])
 		}
 	}
-	place.digests = kept.digests
+	segmentSlot.digests = kept.digests
 	r.body = kept.body
 }
--- a/internal/claim/region_test.go
+++ b/internal/claim/region_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// acrossRegions runs the body with two nodes in each of two regions that share
-// a platform. The shard is held in the first region.
-func acrossRegions(t *testing.T, body func(t *testing.T, c *cluster, east, west []*testNode)) {
+// withTwoRegions runs body with two nodes in each of two regions that share a platform.
+// The first region holds the shard.
+func withTwoRegions(t *testing.T, body func(t *testing.T, c *cluster, east, west []*testNode)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
@@ -16,10 +16,10 @@
 		c.regions = map[string]string{"e1": "east", "e2": "east", "w1": "west", "w2": "west"}
 		c.preferredIn = map[string]string{"east": "e1", "west": "w1"}
 		east := []*testNode{c.start(t, "e1", nil), c.start(t, "e2", nil)}
-		settle()
+		waitUntilSettled()
 		west := []*testNode{c.start(t, "w1", nil), c.start(t, "w2", nil)}
-		settle()
-		if !holds(east[0]) {
+		waitUntilSettled()
+		if !holdsShard(east[0]) {
 			t.Fatal("the shard is not held in the first region")
 		}
 		body(t, c, east, west)
@@ -30,10 +30,8 @@
 	})
 }
 
-// TestRepeatInAnotherRegion claims in one region and repeats in the other, both
-// ways, and while the call is under way.
 func TestRepeatInAnotherRegion(t *testing.T) {
-	acrossRegions(t, func(t *testing.T, c *cluster, east, west []*testNode) {
+	withTwoRegions(t, func(t *testing.T, c *cluster, east, west []*testNode) {
 		for first, node := range map[string]*testNode{"east": east[1], "west": west[1]} {
 			key := Key{Workspace: "w", Upstream: "u", IdempotencyKey: first}
 			begun, err := node.Begin(t.Context(), key, FingerprintOf("POST", "/claims", []byte("body")))
@@ -41,31 +39,30 @@
 				t.Fatalf("the claim in %s: %v, %v", first, begun.Verdict, err)
 			}
 			for _, other := range append(east, west...) {
-				expectTold(t, "a repeat meanwhile", c.call(t, other, key, "body", stepNone), toldInProgress)
+				expectResult(t, "a repeat while in progress", c.call(t, other, key, "body", stepNone), resultInProgress)
 			}
 			answer := Answer{Status: 201, Body: []byte(answerTo("body"))}
 			if err := node.Finish(t.Context(), begun.Token, Outcome{Kind: OutcomeRecorded, Answer: answer}); err != nil {
 				t.Fatal(err)
 			}
 			for _, other := range append(east, west...) {
-				expectTold(t, "a repeat afterwards", c.call(t, other, key, "body", stepNone), toldRecorded)
+				expectResult(t, "a repeat afterwards", c.call(t, other, key, "body", stepNone), resultRecorded)
 			}
 		}
 	})
 }
 
-// TestHolderDiesInAnotherRegion takes the shard over in the second region when
-// the first one's nodes are gone.
+// The second region must take over the shard when the nodes of the first one are gone.
 func TestHolderDiesInAnotherRegion(t *testing.T) {
-	acrossRegions(t, func(t *testing.T, c *cluster, east, west []*testNode) {
-		expectTold(t, "the first", c.call(t, west[1], oneKey, "body", stepNone), toldRan)
+	withTwoRegions(t, func(t *testing.T, c *cluster, east, west []*testNode) {
+		expectResult(t, "the first", c.call(t, west[1], testKey, "body", stepNone), resultRan)
 		c.kill(east[0])
 		c.kill(east[1])
-		expectTold(t, "the repeat", c.call(t, west[1], oneKey, "body", stepNone), toldRecorded)
-		if !holds(west[0]) {
+		expectResult(t, "the repeat", c.call(t, west[1], testKey, "body", stepNone), resultRecorded)
+		if !holdsShard(west[0]) {
 			t.Error("the shard is not held in the second region")
 		}
-		expectRuns(t, c, oneKey, 1)
+		expectRuns(t, c, testKey, 1)
 	})
 }
 
@@ -76,7 +73,7 @@
 		"vm-3/run":                              {"vm-3", ""},
 		HolderName("vm-3", "run", "[::1]:8090"): {"vm-3", "[::1]:8090"},
 	} {
-		if node, address := readHolder(holder); node != want[0] || address != want[1] {
+		if node, address := parseHolderName(holder); node != want[0] || address != want[1] {
 			t.Errorf("%q: got %q and %q", holder, node, address)
 		}
 	}
--- a/internal/claim/regions_test.go
+++ b/internal/claim/regions_test.go
@@ -18,7 +18,7 @@
 	"galenatrestle/internal/platform/memstore"
 )
 
-// regionLink carries claims between nodes by address. It implements claim.Peers.
+// regionLink routes claims between nodes by address. It implements claim.Peers.
 type regionLink map[string]*claim.Node
 
 var errNoRoute = errors.New("no route")
@@ -37,7 +37,7 @@
 	return claim.FinishReply{}, errNoRoute
 }
 
-// regionLeases gives the ledger the terms of a lease.Source.
+// regionLeases adapts lease.Source to claim.Leases.
 type regionLeases struct{ *lease.Source }
 
 func (l regionLeases) Acquire(ctx context.Context, name string) (claim.Term, error) {
@@ -48,7 +48,7 @@
 	return term, nil
 }
 
-// newRegionNode returns the only node of a region, which knows no other.
+// newRegionNode returns the only node of a region; its view has no other members.
 func newRegionNode(t *testing.T, store platform.Store, link regionLink, name string) *claim.Node {
 	t.Helper()
 	address := name + ":9000"
@@ -73,8 +73,8 @@
 	return node
 }
 
-// TestClaimsFromAnotherRegion claims at a node whose region holds no shard, has
-// a repeat come to the other region, and then loses the holder.
+// TestClaimsFromAnotherRegion claims at a node whose region holds no shard, repeats the
+// calls in the other region, and then stops the holder.
 func TestClaimsFromAnotherRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New(memstore.Config{})
@@ -88,11 +88,11 @@
 			}
 			return grant.Verdict
 		}
-		eastLife, stopEast := context.WithCancel(t.Context())
-		eastDone := run(eastLife, east)
+		eastCtx, stopEast := context.WithCancel(t.Context())
+		eastDone := run(eastCtx, east)
 		time.Sleep(5 * time.Second)
-		westLife, stopWest := context.WithCancel(t.Context())
-		westDone := run(westLife, west)
+		westCtx, stopWest := context.WithCancel(t.Context())
+		westDone := run(westCtx, west)
 		time.Sleep(5 * time.Second)
 
 		const claims = 40
@@ -107,9 +107,9 @@
 		before := store.Calls()[platform.CallAcquire].Calls
 		time.Sleep(time.Minute)
 		tries := store.Calls()[platform.CallAcquire].Calls - before
-		// Each second for each shard would be 240.
+		// One try per second and shard would be 240.
 		if bound := int64(claim.DefaultShards * 10); tries > bound {
-			t.Errorf("the west tried %d times in a minute for what the east holds, want %d at most", tries, bound)
+			t.Errorf("the west tried to acquire %d leases per minute while the east held them, want at most %d", tries, bound)
 		}
 
 		stopEast()
@@ -129,7 +129,7 @@
 	})
 }
 
-// run runs the node and returns what is closed at its end.
+// run runs the node and returns a channel that is closed when it has stopped.
 func run(ctx context.Context, node *claim.Node) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
--- a/internal/claim/ring_test.go
+++ b/internal/claim/ring_test.go
@@ -17,8 +17,8 @@
 	"galenatrestle/internal/refusal"
 )
 
-// ringBench drives one ring on a map of entries.
-type ringBench struct {
+// ringHarness drives one ring on an in-memory map of platform entries.
+type ringHarness struct {
 	t        testing.TB
 	ring     *ring
 	entries  map[string]platform.Entry
@@ -26,13 +26,13 @@
 	now      time.Time
 }
 
-func newRingBench(t testing.TB, policy Policy) *ringBench {
-	b := &ringBench{t: t, entries: make(map[string]platform.Entry), now: time.UnixMilli(1_700_000_000_000)}
+func newRingHarness(t testing.TB, policy Policy) *ringHarness {
+	b := &ringHarness{t: t, entries: make(map[string]platform.Entry), now: time.UnixMilli(1_700_000_000_000)}
 	b.recover(policy, 1)
 	return b
 }
 
-func (b *ringBench) recover(policy Policy, epoch int64) {
+func (b *ringHarness) recover(policy Policy, epoch int64) {
 	b.t.Helper()
 	var entries []platform.Entry
 	for _, entry := range b.entries {
@@ -46,8 +46,8 @@
 	b.write()
 }
 
-// write makes writes until nothing waits.
-func (b *ringBench) write() {
+// write performs writes until no changes are pending.
+func (b *ringHarness) write() {
 	b.t.Helper()
 	for first := true; first || len(b.ring.pending) > 0; first = false {
 		next, err := b.ring.nextWrite(b.now, uuid.New())
@@ -62,11 +62,11 @@
 		}
 		b.revision++
 		b.entries[next.key] = platform.Entry{Key: next.key, Value: next.value, Revision: b.revision}
-		b.ring.written(next, b.revision)
+		b.ring.markWritten(next, b.revision)
 	}
 }
 
-func (b *ringBench) begin(key Key, attempt uuid.UUID, refuse refusal.Reason) Decision {
+func (b *ringHarness) begin(key Key, attempt uuid.UUID, refuse refusal.Reason) Decision {
 	b.t.Helper()
 	command := BeginCommand{
 		Key: key, Attempt: attempt, Node: "n1", Now: b.now, RefuseNew: refuse,
@@ -79,7 +79,7 @@
 	return decision
 }
 
-func (b *ringBench) finish(key Key, attempt uuid.UUID, phase claimv1.Phase, body []byte) {
+func (b *ringHarness) finish(key Key, attempt uuid.UUID, phase claimv1.Phase, body []byte) {
 	b.t.Helper()
 	command := FinishCommand{Key: key, Attempt: attempt, Phase: phase, Now: b.now}
 	if phase == phaseRecorded {
@@ -98,31 +98,31 @@
 	return uuid.NewSHA1(uuid.NameSpaceOID, fmt.Append(nil, n))
 }
 
-func benchPolicy() Policy {
+func smallPolicy() Policy {
 	policy := DefaultPolicy()
 	policy.Segments = 8
 	policy.SegmentBytes = 4 << 10
 	return policy
 }
 
-// TestRecoveryFindsWhatWasWritten goes round the ring many times with random
-// claims and compares each recovery with the ring that wrote.
-func TestRecoveryFindsWhatWasWritten(t *testing.T) {
+// TestRecoveryMatchesWrittenRing wraps the ring around many times with random claims
+// and compares each recovered ring with the one that was written.
+func TestRecoveryMatchesWrittenRing(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
-	policy := benchPolicy()
-	b := newRingBench(t, policy)
+	policy := smallPolicy()
+	b := newRingHarness(t, policy)
 	sealed := 0
 	for round := range int64(400) {
 		for range 1 + random.IntN(6) {
 			n := random.IntN(3000)
-			if !b.ring.full() && b.begin(keyNumber(n), attemptNumber(n), "").Verdict == Run {
+			if !b.ring.isFull() && b.begin(keyNumber(n), attemptNumber(n), "").Verdict == Run {
 				phases := []claimv1.Phase{phaseRecorded, phaseUnknown, phaseReleased, claimv1.Phase_PHASE_UNSPECIFIED}
 				if phase := phases[random.IntN(4)]; phase != 0 {
 					b.finish(keyNumber(n), attemptNumber(n), phase, bytes.Repeat([]byte("x"), random.IntN(200)))
 				}
 			}
 		}
-		b.ring.compact = b.ring.full()
+		b.ring.compact = b.ring.isFull()
 		b.write()
 		b.now = b.now.Add(time.Duration(random.IntN(60)) * time.Minute)
 		if b.ring.sealed {
@@ -136,18 +136,18 @@
 		}
 	}
 	if b.ring.tail < 3*int64(policy.Segments) || sealed == 0 {
-		t.Errorf("the ring went to segment %d only", b.ring.tail)
+		t.Errorf("the ring only reached segment %d", b.ring.tail)
 	}
 }
 
-// compareRings compares what callers can be told of each claim at now.
+// compareRings compares the state of each claim as of now.
 func compareRings(t *testing.T, before, after *ring, now time.Time) {
 	t.Helper()
 	ids := maps.Clone(before.index)
 	maps.Copy(ids, after.index)
 	for id := range ids {
 		want, got := stateAt(t, before, id, now), stateAt(t, after, id, now)
-		// A recorded claim needs its attempt no more: a short record has none.
+		// A short record of a recorded claim does not contain its attempt.
 		sameAttempt := bytes.Equal(got.GetAttempt(), want.GetAttempt()) || got.GetPhase() == phaseRecorded
 		if got.GetPhase() != want.GetPhase() || !sameAttempt {
 			t.Errorf("claim %x is %v after recovery, not %v", id, got, want)
@@ -171,15 +171,15 @@
 	return state
 }
 
-// TestFullLedger refuses new claims when the ring is full, still finishes the
-// old ones, still knows them, and takes new ones once the old have expired.
+// A full ring refuses new claims, still finishes and returns existing ones, and has room
+// again after they have expired.
 func TestFullLedger(t *testing.T) {
-	policy := benchPolicy()
-	b := newRingBench(t, policy)
+	policy := smallPolicy()
+	b := newRingHarness(t, policy)
 	claimed := 0
-	for ; !b.ring.full(); claimed++ {
+	for ; !b.ring.isFull(); claimed++ {
 		if fill := b.ring.fill(); fill > 1 {
-			t.Fatalf("the fill is %v, yet claims are taken", fill)
+			t.Fatalf("the fill is %v, but claims are accepted", fill)
 		}
 		if b.begin(keyNumber(claimed), attemptNumber(claimed), "").Verdict != Run {
 			t.Fatal("a new claim did not run")
@@ -187,7 +187,7 @@
 		b.write()
 	}
 	if fill := b.ring.fill(); fill < 1 {
-		t.Errorf("the fill is %v, yet no claims are taken", fill)
+		t.Errorf("the fill is %v, but no claims are accepted", fill)
 	}
 	if got := b.begin(keyNumber(claimed), attemptNumber(claimed), refusal.ClaimLedger); got.Refused != refusal.ClaimLedger {
 		t.Errorf("a claim past the bound got %+v", got)
@@ -212,12 +212,11 @@
 	}
 }
 
-// TestRetention drops the body first, then the claim, and never a claim that
-// was not finished.
+// The body expires before the claim, and an unfinished claim never expires.
 func TestRetention(t *testing.T) {
-	policy := benchPolicy()
+	policy := smallPolicy()
 	policy.AnswerRetention = time.Hour
-	b := newRingBench(t, policy)
+	b := newRingHarness(t, policy)
 	b.begin(keyNumber(1), attemptNumber(1), "")
 	b.finish(keyNumber(1), attemptNumber(1), phaseRecorded, []byte("answer"))
 	b.begin(keyNumber(2), attemptNumber(2), "")
@@ -248,10 +247,10 @@
 	}
 }
 
-// TestRecoverRefuses refuses what it cannot read, and an epoch that is past.
+// Recovery must fail on unreadable entries and on an epoch older than the stored one.
 func TestRecoverRefuses(t *testing.T) {
-	policy := benchPolicy()
-	b := newRingBench(t, policy)
+	policy := smallPolicy()
+	b := newRingHarness(t, policy)
 	b.recover(policy, 5)
 	good := slices.Collect(func(yield func(platform.Entry) bool) {
 		for _, entry := range b.entries {
@@ -270,7 +269,7 @@
 	}
 	for name, test := range cases {
 		if _, err := recoverRing(policy, "claims/", "n1", test.epoch, test.entries); err == nil {
-			t.Errorf("%s was taken", name)
+			t.Errorf("%s was accepted", name)
 		}
 	}
 	if _, err := recoverRing(policy, "claims/", "n1", 6, good); err != nil {
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -12,34 +12,33 @@
 	"galenatrestle/internal/refusal"
 )
 
-// shard is one shard as this node sees it: held, or known from an earlier
-// term, or neither.
+// shard is one shard on this node: held, remembered from an earlier term, or unknown.
 type shard struct {
 	number  int
 	options Options
 	metrics *metrics
 	limiter *rate.Limiter
 	wake    chan struct{}
-	// gathering gives each write of few bytes its turn.
-	gathering *rate.Limiter
+	// flushLimiter delays writes smaller than Options.FlushBytes to batch changes.
+	flushLimiter *rate.Limiter
 
 	mu sync.Mutex
-	// ring is nil where this node knows nothing of the shard.
+	// ring is nil if this node has no state of the shard.
 	ring *ring
-	// holding says that the ring takes changes; else it only answers what is
-	// durable and final.
+	// holding reports whether the ring accepts changes. If false, the ring only serves
+	// remembered decisions.
 	holding bool
-	// term is the one that this node holds or held the shard in.
+	// term is the current or last term in which this node held the shard.
 	term Term
-	// stuck says that the write under way has failed stuckTries times.
+	// stuck reports that the current write has failed at least stuckAfterTries times.
 	stuck bool
-	// progress is closed and replaced whenever something became durable or
-	// the ring was dropped.
+	// progress is closed and replaced whenever a waiter must check the shard again: a
+	// change became durable, a write failed, or the shard was gained or lost.
 	progress chan struct{}
-	// warned says that the fill is above the warning.
+	// warned reports that the fill is above fillWarning.
 	warned bool
-	// compacted is when a compaction was last asked for.
-	compacted time.Time
+	// lastCompaction is when a compaction was last requested.
+	lastCompaction time.Time
 }
 
 func newShard(number int, options Options, metrics *metrics) *shard {
@@ -49,23 +48,24 @@
 		limiter: rate.NewLimiter(rate.Limit(perShard), writeBurst),
 		wake:    make(chan struct{}, 1),
 
-		gathering: rate.NewLimiter(options.gatherLimit(), gatherBurst),
-		progress:  make(chan struct{}),
+		flushLimiter: rate.NewLimiter(options.flushLimit(), flushBurst),
+		progress:     make(chan struct{}),
 	}
 }
 
-// begin runs a Begin on the shard held here. errNotHolder is certain to have
-// changed nothing, and comes with what is remembered; errUncertain is not.
-func (s *shard) begin(ctx context.Context, request BeginRequest, gone func(string, uuid.UUID) bool) (Decision, error) {
+// begin runs a Begin on a shard that this node holds. errNotHolder guarantees that
+// nothing changed, and comes with the remembered decision; after errUncertain the claim
+// may have been made.
+func (s *shard) begin(ctx context.Context, request BeginRequest, processEnded func(string, uuid.UUID) bool) (Decision, error) {
 	now := time.Now()
 	command := BeginCommand{
 		Key: request.Key, CallFingerprint: request.CallFingerprint, Attempt: request.Attempt,
-		Node: request.Node, Boot: request.Boot, Now: now, ProcessEnded: gone,
+		Node: request.Node, Boot: request.Boot, Now: now, ProcessEnded: processEnded,
 	}
 	s.mu.Lock()
 	if !s.holding {
 		defer s.mu.Unlock()
-		return s.remembered(command), errNotHolder
+		return s.answerFromMemory(command), errNotHolder
 	}
 	command.RefuseNew = s.refusalForNew(now)
 	if request.KnownOnly {
@@ -74,7 +74,6 @@
 	return s.run(ctx, request.Key, command, now)
 }
 
-// finish runs a Finish on the shard held here.
 func (s *shard) finish(ctx context.Context, request FinishRequest) error {
 	now := time.Now()
 	s.mu.Lock()
@@ -85,15 +84,15 @@
 	command := FinishCommand{
 		Key: request.Key, Attempt: request.Attempt, Phase: request.Phase, Answer: request.Answer, Now: now,
 	}
-	if s.ring.bodyFree() && command.Answer != nil {
+	if s.ring.dropsBodies() && command.Answer != nil {
 		command.Answer = &claimv1.Answer{Status: command.Answer.GetStatus(), BodyDropped: true}
 	}
 	_, err := s.run(ctx, request.Key, command, now)
 	return err
 }
 
-// run applies the command and waits until its change is durable. It is called
-// with the lock held and gives it up.
+// run applies the command and waits until its change is durable. The caller holds the
+// lock; run releases it.
 func (s *shard) run(ctx context.Context, key Key, command Command, now time.Time) (Decision, error) {
 	current := s.ring
 	decision, number, err := current.apply(key, command, now)
@@ -101,15 +100,15 @@
 	if err != nil {
 		return Decision{}, errUncertain
 	}
-	if refusesNew(decision) && !s.heldNow(current) {
+	if impliesNotRun(decision) && !s.stillHolds(current) {
 		return Decision{}, errNotHolder
 	}
 	if number == 0 || decision.Refused != "" {
 		return decision, nil
 	}
-	s.signal()
-	others := decision.Verdict != 0 && decision.Verdict != Run
-	err = s.wait(ctx, current, number, others)
+	s.wakeWriter()
+	otherAttempt := decision.Verdict != 0 && decision.Verdict != Run
+	err = s.waitDurable(ctx, current, number, otherAttempt)
 	if err == nil {
 		return decision, nil
 	}
@@ -119,9 +118,9 @@
 	return Decision{}, err
 }
 
-// refusesNew says whether the decision tells that no earlier request of the key
-// has run, which only the shard's one holder knows.
-func refusesNew(decision Decision) bool {
+// impliesNotRun reports whether the decision implies that no earlier request with the
+// key has run. Only the current holder can know that.
+func impliesNotRun(decision Decision) bool {
 	switch decision.Refused {
 	case refusal.ClaimStoreDown, refusal.ClaimLedger, refusal.QuotaExceeded:
 		return true
@@ -129,18 +128,18 @@
 	return false
 }
 
-// heldNow says that the ring knew all claims of the shard until now: another
-// holder takes over only when the term is past by this one's clock.
-func (s *shard) heldNow(current *ring) bool {
+// stillHolds reports whether the ring contains all claims of the shard as of now:
+// another holder takes over only after this term has ended by the local clock.
+func (s *shard) stillHolds(current *ring) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.holding && s.ring == current && s.term.Held(time.Now())
 }
 
-// remembered answers what was known when the shard was last held here: what was
-// durable, and in progress for what was not. It is told only where no holder
-// can be asked, as in a platform outage, and gives no right to run.
-func (s *shard) remembered(command BeginCommand) Decision {
+// answerFromMemory returns the decision from the last term in which this node held the
+// shard: what was durable, and in progress for what was not. It is used only if no
+// holder can be reached, as in a platform outage, and never returns Run.
+func (s *shard) answerFromMemory(command BeginCommand) Decision {
 	if s.ring == nil {
 		return Decision{}
 	}
@@ -157,40 +156,40 @@
 	if decision.Verdict == Run || decision.Refused == refusal.ClaimStoreDown {
 		return Decision{}
 	}
-	if decision.Verdict != 0 && s.ring.undurable(current) != 0 {
+	if decision.Verdict != 0 && s.ring.changeToAwait(current) != 0 {
 		return Decision{Verdict: InProgress}
 	}
 	return decision
 }
 
-// refusalForNew returns why no new claim may be made, or nothing.
+// refusalForNew returns the reason to refuse new claims; empty if they are accepted.
 func (s *shard) refusalForNew(now time.Time) refusal.Reason {
 	if s.stuck || len(s.ring.pending) >= s.options.MaxPending {
 		return refusal.ClaimStoreDown
 	}
-	if s.ring.crowded() && now.Sub(s.compacted) >= compactInterval {
-		s.compacted = now
+	if s.ring.shouldCompact() && now.Sub(s.lastCompaction) >= compactInterval {
+		s.lastCompaction = now
 		s.ring.compact = true
-		s.signal()
+		s.wakeWriter()
 	}
-	if s.ring.full() {
+	if s.ring.isFull() {
 		return refusal.ClaimLedger
 	}
 	return ""
 }
 
-// compactInterval is the least time between two compactions of a crowded shard.
+// compactInterval is the minimum time between two compactions of a shard.
 const compactInterval = time.Second
 
-// wait returns once the change is durable in the ring, else errUncertain. For
-// another attempt's change it returns errStuck as soon as the platform does not
-// answer: what that attempt did is under way, and not-run would be untrue.
-func (s *shard) wait(ctx context.Context, current *ring, number int64, others bool) error {
+// waitDurable returns nil once the change is durable, otherwise errUncertain. For a
+// change by another attempt it returns errStuck as soon as the platform stops
+// responding: that attempt may still run, so the call must not be reported as not-run.
+func (s *shard) waitDurable(ctx context.Context, current *ring, number int64, otherAttempt bool) error {
 	for {
 		s.mu.Lock()
-		durable := current.durable >= number
+		durable := current.durableChange >= number
 		dropped := s.ring != current || !s.holding
-		stuck := s.stuck && others
+		stuck := s.stuck && otherAttempt
 		progress := s.progress
 		s.mu.Unlock()
 		if durable {
@@ -210,26 +209,25 @@
 	}
 }
 
-// warnOfFill logs when the fill comes to the warning. It is called with
-// the lock held.
-func (s *shard) warnOfFill(fill float64) {
+// warnIfFilling logs a warning when the fill reaches fillWarning. The caller holds the
+// lock.
+func (s *shard) warnIfFilling(fill float64) {
 	if fill >= fillWarning && !s.warned {
 		s.options.Log.WithFields(map[string]any{"shard": s.number, "fill": fill}).
-			Warn("claim shard is filling up: it needs more room or a shorter retention")
+			Warn("claim shard is filling up; increase its capacity or shorten the retention")
 	}
 	s.warned = fill >= fillWarning
 }
 
-// signal wakes the writer.
-func (s *shard) signal() {
+func (s *shard) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// advance tells all that wait to look again. It is called with the lock held.
-func (s *shard) advance() {
+// notifyWaiters wakes all waiters in waitDurable. The caller holds the lock.
+func (s *shard) notifyWaiters() {
 	close(s.progress)
 	s.progress = make(chan struct{})
 }
--- a/internal/claim/shardholder.go
+++ b/internal/claim/shardholder.go
@@ -9,54 +9,55 @@
 	"galenatrestle/internal/membership"
 )
 
-// shardHolder decides for one shard whether this node tries to hold it, and knows
-// who holds it else. What it knows is soft state: the lease decides.
-type shardHolder struct {
-	part    *shard
-	options Options
-	name    string
-	asked   chan struct{}
+// leaseManager decides whether this node tries to hold a shard, and otherwise tracks its
+// holder. The tracked holder may be stale; the lease is authoritative.
+type leaseManager struct {
+	localShard      *shard
+	options         Options
+	name            string
+	acquireRequests chan struct{}
 
 	mu sync.Mutex
-	// hint is the newest that is known of the holder.
+	// hint is the newest known hint about the holder.
 	hint Hint
 }
 
-// handOnAfter is how many looks in a row must find another preferred holder
-// before a held shard is handed on.
-const handOnAfter = 5
+// yieldAfterChecks is the number of consecutive checks that must find another preferred
+// holder before this node releases the shard.
+const yieldAfterChecks = 5
 
-func newShardHolder(part *shard, options Options) *shardHolder {
-	return &shardHolder{part: part, options: options, name: shardPrefix(part.number), asked: make(chan struct{}, 1)}
+func newLeaseManager(localShard *shard, options Options) *leaseManager {
+	return &leaseManager{localShard: localShard, options: options, name: shardPrefix(localShard.number), acquireRequests: make(chan struct{}, 1)}
 }
 
-// run holds the shard whenever this node is its preferred holder, or was asked
-// as the preferred one did not answer, and the lease is free.
-func (t *shardHolder) run(ctx context.Context) {
-	wanted := false
+// run tries to acquire the lease and hold the shard whenever this node is the preferred
+// holder or an acquisition was requested because the holder did not respond.
+func (m *leaseManager) run(ctx context.Context) {
+	requested := false
 	for {
-		if wanted || t.preferred() {
-			t.tryHold(ctx)
+		if requested || m.isPreferred() {
+			m.tryAcquire(ctx)
 		}
 		var live bool
-		wanted, live = t.rest(ctx)
+		requested, live = m.waitForCheck(ctx)
 		if !live {
 			return
 		}
 	}
 }
 
-// rest waits for the next look. An ask shortens the wait to a quarter, so that
-// a busy node without a holder does not use up the platform's rate.
-func (t *shardHolder) rest(ctx context.Context) (wanted, live bool) {
-	short := t.options.jitters.around(t.options.CheckInterval / 4)
-	if ctxtime.Sleep(ctx, short) != nil {
+// waitForCheck waits for the next check. A request shortens the wait to about a quarter
+// of CheckInterval, but not to zero, to limit the platform calls of a busy node without
+// a holder.
+func (m *leaseManager) waitForCheck(ctx context.Context) (requested, live bool) {
+	minWait := m.options.jitter.around(m.options.CheckInterval / 4)
+	if ctxtime.Sleep(ctx, minWait) != nil {
 		return false, false
 	}
-	timer := time.NewTimer(t.options.jitters.around(t.interval()))
+	timer := time.NewTimer(m.options.jitter.around(m.checkInterval()))
 	defer timer.Stop()
 	select {
-	case <-t.asked:
+	case <-m.acquireRequests:
 		return true, true
 	case <-timer.C:
 		return false, true
@@ -65,139 +66,136 @@
 	}
 }
 
-// elsewhereRest is how many intervals pass between looks at a shard that is
-// held in another region, so that the regions' preferred holders together cost
-// the platform little. A holder that does not answer is noticed by those who ask.
-const elsewhereRest = 10
+// otherRegionFactor is the multiple of CheckInterval used while a shard is held in
+// another region, to limit the platform calls of the regions' preferred holders. A
+// holder that fails is detected by the requests forwarded to it.
+const otherRegionFactor = 10
 
-// interval returns the mean pause between two looks.
-func (t *shardHolder) interval() time.Duration {
-	node, address := readHolder(t.holderHint().Holder)
-	if _, known := memberNamed(t.options.View, node); !known && address != "" {
-		return elsewhereRest * t.options.CheckInterval
+func (m *leaseManager) checkInterval() time.Duration {
+	node, address := parseHolderName(m.holderHint().Holder)
+	if _, known := findMember(m.options.View, node); !known && address != "" {
+		return otherRegionFactor * m.options.CheckInterval
 	}
-	return t.options.CheckInterval
+	return m.options.CheckInterval
 }
 
-// tryHold holds the shard if its lease can be had.
-func (t *shardHolder) tryHold(ctx context.Context) {
-	call, cancel := context.WithTimeout(ctx, t.options.CallTimeout)
-	term, err := t.options.Leases.Acquire(call, t.name)
+// tryAcquire holds the shard if its lease can be acquired, and returns when the term
+// ends.
+func (m *leaseManager) tryAcquire(ctx context.Context) {
+	callCtx, cancel := context.WithTimeout(ctx, m.options.CallTimeout)
+	term, err := m.options.Leases.Acquire(callCtx, m.name)
 	cancel()
 	if err != nil {
-		t.learn(heldBy(err))
+		m.updateHint(hintFromError(err))
 		return
 	}
-	self := t.options.View.Self().Name
-	t.forget()
-	until, stop := context.WithCancel(ctx)
-	go t.handOn(until, stop)
-	err = t.part.hold(until, term, self)
+	self := m.options.View.Self().Name
+	m.clearHolder()
+	holdCtx, stop := context.WithCancel(ctx)
+	go m.yieldToPreferred(holdCtx, stop)
+	err = m.localShard.hold(holdCtx, term, self)
 	stop()
-	t.part.metrics.forgot(t.part.number)
+	m.localShard.metrics.deleteShard(m.localShard.number)
 	if err != nil {
-		t.options.Log.WithError(err).WithField("shard", t.part.number).Warn("claim shard lost")
+		m.options.Log.WithError(err).WithField("shard", m.localShard.number).Warn("claim shard lost")
 	}
-	t.release(ctx, term)
-	t.dropAsk()
+	m.releaseLease(ctx, term)
+	m.dropAcquireRequest()
 }
 
-func (t *shardHolder) release(ctx context.Context, term Term) {
-	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), t.options.CallTimeout)
+func (m *leaseManager) releaseLease(ctx context.Context, term Term) {
+	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), m.options.CallTimeout)
 	defer cancel()
-	if err := term.Release(call); err != nil {
-		t.options.Log.WithError(err).WithField("shard", t.part.number).Info("claim lease not released, it will lapse")
+	if err := term.Release(callCtx); err != nil {
+		m.options.Log.WithError(err).WithField("shard", m.localShard.number).Info("claim lease not released; it will expire")
 	}
 }
 
-// handOn stops the holding when the shard should be handed to its preferred
-// holder. It returns when ctx ends.
-func (t *shardHolder) handOn(ctx context.Context, stop func()) {
-	for others := 0; others < handOnAfter; {
-		if ctxtime.Sleep(ctx, t.options.CheckInterval) != nil {
+// yieldToPreferred calls stop when another node has become the preferred holder. It
+// returns when ctx ends.
+func (m *leaseManager) yieldToPreferred(ctx context.Context, stop func()) {
+	for mismatches := 0; mismatches < yieldAfterChecks; {
+		if ctxtime.Sleep(ctx, m.options.CheckInterval) != nil {
 			return
 		}
-		others++
-		if owner := t.options.View.Owner(t.name); t.isSelf(owner) || owner.State != membership.StateServing {
-			others = 0
+		mismatches++
+		if owner := m.options.View.Owner(m.name); m.isSelf(owner) || owner.State != membership.StateServing {
+			mismatches = 0
 		}
 	}
 	stop()
 }
 
-// preferred says whether this node is the shard's preferred holder.
-func (t *shardHolder) preferred() bool { return t.isSelf(t.options.View.Owner(t.name)) }
+func (m *leaseManager) isPreferred() bool { return m.isSelf(m.options.View.Owner(m.name)) }
 
-func (t *shardHolder) isSelf(member membership.Member) bool {
-	return member.Name == t.options.View.Self().Name
+func (m *leaseManager) isSelf(member membership.Member) bool {
+	return member.Name == m.options.View.Self().Name
 }
 
-// ask makes this node try to hold the shard soon.
-func (t *shardHolder) ask() {
+// requestAcquire requests an early attempt to acquire the lease.
+func (m *leaseManager) requestAcquire() {
 	select {
-	case t.asked <- struct{}{}:
+	case m.acquireRequests <- struct{}{}:
 	default:
 	}
 }
 
-func (t *shardHolder) askIfOwner() {
-	if t.preferred() {
-		t.ask()
+func (m *leaseManager) requestAcquireIfPreferred() {
+	if m.isPreferred() {
+		m.requestAcquire()
 	}
 }
 
-// dropAsk forgets that this node was asked. Calls that came while it took the
-// shard over ask for what it has done; acted on after a hand-over, they would
-// take the shard back from its preferred holder.
-func (t *shardHolder) dropAsk() {
+// dropAcquireRequest discards a request made during the term that just ended. If it were
+// acted on after a handover, this node would take the shard back from its preferred
+// holder.
+func (m *leaseManager) dropAcquireRequest() {
 	select {
-	case <-t.asked:
+	case <-m.acquireRequests:
 	default:
 	}
 }
 
-// learn takes in a hint, and tells whether it was better than what was known.
-func (t *shardHolder) learn(hint Hint) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !hint.improves(t.hint) {
+// updateHint stores the hint and returns true if it is newer than the known one.
+func (m *leaseManager) updateHint(hint Hint) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !hint.supersedes(m.hint) {
 		return false
 	}
-	t.hint = hint
+	m.hint = hint
 	return true
 }
 
-// forget drops the holder that the hint names, as it did not answer as one. Its
-// epoch stays known, so that older hints are not followed.
-func (t *shardHolder) forget() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.hint.Holder = ""
+// clearHolder drops the known holder after it failed to respond as one. The epoch is
+// kept, so that older hints are ignored.
+func (m *leaseManager) clearHolder() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.hint.Holder = ""
 }
 
-// holderHint returns what is known of the holder.
-func (t *shardHolder) holderHint() Hint {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.hint
+func (m *leaseManager) holderHint() Hint {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.hint
 }
 
-// holderAddress returns the peer address of the node to ask: the one that the
-// holder took the lease with, since the view may still have that of the process
-// before it. It is false where that would be this node; then it tries to hold the
-// shard.
-func (t *shardHolder) holderAddress() (string, bool) {
-	node, address := readHolder(t.holderHint().Holder)
-	self := t.options.View.Self().Name
+// holderAddress returns the peer address of the presumed holder. It prefers the address
+// in the lease, since the view may still have that of an earlier process of the node. If
+// the presumed holder is this node, it returns false and requests the lease.
+func (m *leaseManager) holderAddress() (string, bool) {
+	node, address := parseHolderName(m.holderHint().Holder)
+	self := m.options.View.Self().Name
 	if address != "" && node != self {
 		return address, true
 	}
-	member, known := memberNamed(t.options.View, node)
+	member, known := findMember(m.options.View, node)
 	if !known {
-		member = t.options.View.Owner(t.name)
+		member = m.options.View.Owner(m.name)
 	}
 	if member.Name == self || member.PeerAddress == "" {
-		t.ask()
+		m.requestAcquire()
 		return "", false
 	}
 	return member.PeerAddress, true
--- a/internal/claim/short.go
+++ b/internal/claim/short.go
@@ -10,15 +10,16 @@
 	claimv1 "galenatrestle/internal/gen/trestle/claim/v1"
 )
 
-// shortBytes is the size of a short record without an attempt: digest, phase,
-// status, second and fingerprint.
-const shortBytes = len(digest{}) + 1 + 2 + 4 + shortFingerprintBytes
+// shortRecordBytes is the size of a short record without an attempt: digest, phase,
+// status, time in seconds and fingerprint prefix.
+const shortRecordBytes = len(digest{}) + 1 + 2 + 4 + shortFingerprintBytes
 
-var errShortRecord = errors.New("claim: a short record that cannot be read")
+var errShortRecord = errors.New("claim: malformed short record")
 
-// shortens says whether the state may be kept as a short record. A claim in
-// progress and a release are needed whole: they are met by their attempts.
-func shortens(state *claimv1.Record, now time.Time, policy Policy) bool {
+// canShorten reports whether the state may be stored as a short record. In-progress and
+// released claims must keep their full record, because it is matched against later
+// requests of the same attempt.
+func canShorten(state *claimv1.Record, now time.Time, policy Policy) bool {
 	if len(state.GetFingerprint()) < shortFingerprintBytes {
 		return false
 	}
@@ -30,11 +31,11 @@
 	return false
 }
 
-// pack encodes an ended claim as a short record. The time is rounded up to the
-// second, so that the claim is not forgotten early. An unknown claim keeps its
-// attempt, which may still be recorded.
-func pack(id digest, state *claimv1.Record) []byte {
-	packed := make([]byte, 0, shortBytes+len(uuid.UUID{}))
+// encodeShortRecord encodes an ended claim. The time is rounded up to the second, so
+// that the claim does not expire early. An unknown claim keeps its attempt, whose answer
+// may still be recorded.
+func encodeShortRecord(id digest, state *claimv1.Record) []byte {
+	packed := make([]byte, 0, shortRecordBytes+len(uuid.UUID{}))
 	packed = append(packed, id[:]...)
 	packed = append(packed, byte(state.GetPhase()))
 	packed = binary.BigEndian.AppendUint16(packed, uint16(state.GetAnswer().GetStatus()))
@@ -47,9 +48,9 @@
 	return packed
 }
 
-// unpack decodes a short record. The record has no key.
-func unpack(packed []byte) (*claimv1.Record, error) {
-	if len(packed) < shortBytes {
+// decodeShortRecord returns a record without its key.
+func decodeShortRecord(packed []byte) (*claimv1.Record, error) {
+	if len(packed) < shortRecordBytes {
 		return nil, errShortRecord
 	}
 	rest := packed[len(digest{}):]
@@ -58,7 +59,7 @@
 		ChangedMs:   int64(binary.BigEndian.Uint32(rest[3:])) * 1000,
 		Fingerprint: rest[7 : 7+shortFingerprintBytes],
 	}
-	attempt := packed[shortBytes:]
+	attempt := packed[shortRecordBytes:]
 	switch {
 	case state.Phase == claimv1.Phase_PHASE_RECORDED && len(attempt) == 0:
 		state.Answer = &claimv1.Answer{Status: int32(binary.BigEndian.Uint16(rest[1:])), BodyDropped: true}
--- a/internal/claim/short_test.go
+++ b/internal/claim/short_test.go
@@ -10,8 +10,7 @@
 	"galenatrestle/internal/refusal"
 )
 
-// goRound makes the ring overwrite each of its segments.
-func (b *ringBench) goRound() {
+func (b *ringHarness) overwriteAllSegments() {
 	b.t.Helper()
 	for range len(b.ring.slots) + 1 {
 		b.ring.compact = true
@@ -19,8 +18,8 @@
 	}
 }
 
-// TestShortRecords asks for ended claims after they were shortened, before and
-// after a recovery, until their retention ends.
+// TestShortRecords repeats ended claims after they were shortened, before and after a
+// recovery, until their retention ends.
 func TestShortRecords(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -36,15 +35,15 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			policy := benchPolicy()
-			b := newRingBench(t, policy)
+			policy := smallPolicy()
+			b := newRingHarness(t, policy)
 			b.now = b.now.Add(time.Millisecond)
 			ended := b.now
 			b.begin(keyNumber(1), attemptNumber(1), "")
 			b.finish(keyNumber(1), attemptNumber(1), test.phase, make([]byte, 200))
 			b.write()
 			b.now = ended.Add(policy.AnswerRetention + time.Millisecond)
-			b.goRound()
+			b.overwriteAllSegments()
 			if current := b.ring.index[digestOf(keyNumber(1))]; !current.short || current.size() > 48 {
 				t.Errorf("the claim takes %d bytes, short %v", current.size(), current.short)
 			}
@@ -72,15 +71,15 @@
 	}
 }
 
-// TestShortUnknownIsRecorded lets the owner of a claim that was taken for lost
-// record its answer after the claim was shortened and recovered.
+// The owner of an unknown claim can still record its answer after the claim was
+// shortened and recovered.
 func TestShortUnknownIsRecorded(t *testing.T) {
-	policy := benchPolicy()
-	b := newRingBench(t, policy)
+	policy := smallPolicy()
+	b := newRingHarness(t, policy)
 	b.begin(keyNumber(1), attemptNumber(1), "")
 	b.finish(keyNumber(1), attemptNumber(1), phaseUnknown, nil)
 	b.now = b.now.Add(policy.AnswerRetention + time.Second)
-	b.goRound()
+	b.overwriteAllSegments()
 	b.recover(policy, 2)
 	b.finish(keyNumber(1), attemptNumber(2), phaseRecorded, []byte("another's"))
 	b.finish(keyNumber(1), attemptNumber(1), phaseRecorded, []byte("late"))
@@ -91,19 +90,18 @@
 	}
 }
 
-// TestRecoverRefusesBrokenShortRecords does not take what it cannot read for
-// nothing: a claim would be forgotten.
+// A malformed short record must be an error; ignoring it would lose a claim.
 func TestRecoverRefusesBrokenShortRecords(t *testing.T) {
 	state := &claimv1.Record{Phase: phaseRecorded, Fingerprint: modelContent[:], Attempt: make([]byte, 16)}
-	good := pack(digest{}, state)
+	good := encodeShortRecord(digest{}, state)
 	state.Phase = phaseUnknown
-	unknown := pack(digest{}, state)
+	unknown := encodeShortRecord(digest{}, state)
 	for name, packed := range map[string][]byte{
 		"too short": good[:len(good)-1], "too long": append(good[:len(good):len(good)], 0),
-		"no attempt": unknown[:shortBytes], "no phase": make([]byte, shortBytes),
+		"no attempt": unknown[:shortRecordBytes], "no phase": make([]byte, shortRecordBytes),
 	} {
-		if _, err := unpack(packed); err == nil {
-			t.Errorf("%s was taken", name)
+		if _, err := decodeShortRecord(packed); err == nil {
+			t.Errorf("%s was accepted", name)
 		}
 	}
 }
--- a/internal/claim/unfinished.go
+++ b/internal/claim/unfinished.go
@@ -16,49 +16,49 @@
 	phaseUnknown  = claimv1.Phase_PHASE_UNKNOWN
 )
 
-// recorders is how many outcomes are recorded at once in the background.
-const recorders = 16
-
-// unfinished is the bounded queue of outcomes that wait to be recorded. It is
-// soft state: an outcome that is lost leaves its claim in progress, which
-// becomes unknown, so that the call still runs at most once.
-type unfinished struct {
-	bound int
-	// added wakes the recorder for an outcome that is new to the queue.
+// maxConcurrentRecords limits the outcomes recorded concurrently in the background.
+const maxConcurrentRecords = 16
+
+// outcomeQueue is a bounded queue of outcomes to record in the background. It is kept in
+// memory only: if an outcome is lost, its claim becomes unknown, so the call still runs
+// at most once.
+type outcomeQueue struct {
+	limit int
+	// added wakes the recorder when an outcome is queued by queueOutcomeAndWake.
 	added chan struct{}
 
-	mu      sync.Mutex
-	waiting []FinishRequest
+	mu     sync.Mutex
+	queued []FinishRequest
 }
 
-func newUnfinished(bound int) *unfinished {
-	return &unfinished{bound: bound, added: make(chan struct{}, 1)}
+func newOutcomeQueue(bound int) *outcomeQueue {
+	return &outcomeQueue{limit: bound, added: make(chan struct{}, 1)}
 }
 
-// add returns false where the queue is full.
-func (u *unfinished) add(request FinishRequest) bool {
+// add returns false if the queue is full.
+func (u *outcomeQueue) add(request FinishRequest) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.waiting) >= u.bound {
+	if len(u.queued) >= u.limit {
 		return false
 	}
-	u.waiting = append(u.waiting, request)
+	u.queued = append(u.queued, request)
 	return true
 }
 
-// take empties the queue.
-func (u *unfinished) take() []FinishRequest {
+// drain removes and returns all queued outcomes.
+func (u *outcomeQueue) drain() []FinishRequest {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	taken := u.waiting
-	u.waiting = nil
+	taken := u.queued
+	u.queued = nil
 	return taken
 }
 
-func (u *unfinished) len() int {
+func (u *outcomeQueue) len() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.waiting)
+	return len(u.queued)
 }
 
 // Finish implements Ledger.
@@ -76,77 +76,77 @@
 	for {
 		err := n.tryFinish(ctx, request)
 		if err == nil {
-			n.finished(request, finishDurable)
+			n.countFinish(request, finishDurable)
 			return nil
 		}
 		if ctx.Err() != nil || !pause(ctx, n.options) {
-			n.soon(request)
+			n.queueOutcomeAndWake(request)
 			return err
 		}
 	}
 }
 
-// later records the outcome in the background.
-func (n *Node) later(request FinishRequest) {
+// queueOutcome queues the outcome for the next round of background recording.
+func (n *Node) queueOutcome(request FinishRequest) {
 	result := finishBackground
-	if !n.unfinished.add(request) {
+	if !n.outcomes.add(request) {
 		result = finishDropped
 	}
-	n.finished(request, result)
-	n.metrics.unfinished.Set(float64(n.unfinished.len()))
+	n.countFinish(request, result)
+	n.metrics.unfinished.Set(float64(n.outcomes.len()))
 }
 
-// soon records the outcome in the background without waiting for the next look.
-func (n *Node) soon(request FinishRequest) {
-	n.later(request)
+// queueOutcomeAndWake queues the outcome and starts a round of recording immediately.
+func (n *Node) queueOutcomeAndWake(request FinishRequest) {
+	n.queueOutcome(request)
 	select {
-	case n.unfinished.added <- struct{}{}:
+	case n.outcomes.added <- struct{}{}:
 	default:
 	}
 }
 
-func (n *Node) finished(request FinishRequest, result string) {
+func (n *Node) countFinish(request FinishRequest, result string) {
 	n.metrics.finishes.WithLabelValues(request.Phase.String(), result).Inc()
 }
 
-// recordUnfinished records outcomes until ctx ends, and tries what is left
-// once more then.
-func (n *Node) recordUnfinished(ctx context.Context) {
-	for n.restUntilAdded(ctx) {
-		n.recordOnce(ctx)
+// recordQueuedOutcomes records queued outcomes until ctx ends, and then tries the
+// remaining ones once more.
+func (n *Node) recordQueuedOutcomes(ctx context.Context) {
+	for n.waitForOutcome(ctx) {
+		n.recordQueueOnce(ctx)
 	}
-	n.recordOnce(context.WithoutCancel(ctx))
+	n.recordQueueOnce(context.WithoutCancel(ctx))
 }
 
-// restUntilAdded waits for a new outcome or the next look at the old ones. It
-// returns false when ctx ended.
-func (n *Node) restUntilAdded(ctx context.Context) bool {
-	timer := time.NewTimer(n.options.jitters.around(n.options.CheckInterval))
+// waitForOutcome waits for a new outcome or the next retry interval. It returns false if
+// ctx ended.
+func (n *Node) waitForOutcome(ctx context.Context) bool {
+	timer := time.NewTimer(n.options.jitter.around(n.options.CheckInterval))
 	defer timer.Stop()
 	select {
-	case <-n.unfinished.added:
+	case <-n.outcomes.added:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return ctx.Err() == nil
 }
 
-func (n *Node) recordOnce(ctx context.Context) {
+func (n *Node) recordQueueOnce(ctx context.Context) {
 	var group errgroup.Group
-	group.SetLimit(recorders)
-	for _, request := range n.unfinished.take() {
+	group.SetLimit(maxConcurrentRecords)
+	for _, request := range n.outcomes.drain() {
 		group.Go(func() error {
-			call, cancel := context.WithTimeout(ctx, n.options.CallTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, n.options.CallTimeout)
 			defer cancel()
-			if n.tryFinish(call, request) != nil {
-				n.later(request)
+			if n.tryFinish(callCtx, request) != nil {
+				n.queueOutcome(request)
 				return nil
 			}
-			n.finished(request, finishDurable)
+			n.countFinish(request, finishDurable)
 			return nil
 		})
 	}
 	// The functions return no errors.
 	_ = group.Wait()
-	n.metrics.unfinished.Set(float64(n.unfinished.len()))
+	n.metrics.unfinished.Set(float64(n.outcomes.len()))
 }
--- a/internal/claim/verdict.go
+++ b/internal/claim/verdict.go
@@ -1,22 +1,20 @@
 package claim
 
-// Verdict is the answer to Begin.
+// Verdict is the ledger's decision on a Begin.
 type Verdict int
 
-// The verdicts.
 const (
-	// Run gives the caller the right to send the call once. The claim is
-	// durable.
+	// Run allows the caller to send the call once. The claim is durable.
 	Run Verdict = iota + 1
-	// Recorded returns the answer of the one run.
+	// Recorded means that the call has run; its recorded answer is returned.
 	Recorded
-	// InProgress says that the one run has not ended yet.
+	// InProgress means that the call has been claimed and has not finished yet.
 	InProgress
-	// Unknown says that the call may have run; it never runs again.
+	// Unknown means that the call may have run; it is never run again.
 	Unknown
 )
 
-// String returns the verdict as used in counters.
+// String returns the verdict as used in metric labels.
 func (v Verdict) String() string {
 	switch v {
 	case Run:
