--- a/internal/claim/write.go
+++ b/internal/claim/write.go
@@ -29,26 +29,26 @@
 	sealed   bool
 	body     []byte
 	digests  []digest
-	// begins says that the write begins a new segment.
-	begins bool
-	// durable is the newest change that it carries.
-	durable int64
+	// opensSegment reports that the write starts a new segment.
+	opensSegment bool
+	// newestChange is the number of the newest change in the write.
+	newestChange int64
 }
 
-// nextWrite returns the write that carries the pending changes, as many as fit.
-// It also fences: whoever held the ring before can write no more once it has
-// taken effect. Only one write may be under way at a time.
+// nextWrite returns the next write, with as many pending changes as fit. Once it has
+// taken effect, earlier holders of the ring can no longer write. Only one write may be
+// in flight at a time.
 func (r *ring) nextWrite(now time.Time, id uuid.UUID) (write, error) {
-	next := write{id: id, sequence: r.tail, body: r.body, durable: r.durable}
+	next := write{id: id, sequence: r.tail, body: r.body, newestChange: r.durableChange}
 	if r.sealed {
-		if err := r.begin(&next, now); err != nil {
+		if err := r.beginSegment(&next, now); err != nil {
 			return write{}, err
 		}
 	}
 	position := r.position(next.sequence)
 	next.key = segmentKey(r.prefix, position)
 	next.expect = r.slots[position].revision
-	r.take(&next)
+	r.takePending(&next)
 	next.sealed = r.compact || len(next.body) >= r.policy.SegmentBytes
 	header := &claimv1.Segment{
 		Sequence: next.sequence, Epoch: r.epoch, WriteId: id[:], Holder: r.holder, Sealed: next.sealed,
@@ -61,9 +61,10 @@
 	return next, nil
 }
 
-// begin opens the next segment with what survives of the one it overwrites.
-func (r *ring) begin(next *write, now time.Time) error {
-	next.begins = true
+// beginSegment starts the next segment with the records to keep from the segment that it
+// overwrites.
+func (r *ring) beginSegment(next *write, now time.Time) error {
+	next.opensSegment = true
 	next.sequence = r.tail + 1
 	next.body = nil
 	old := &r.slots[r.position(next.sequence)]
@@ -75,7 +76,8 @@
 	return nil
 }
 
-// carry copies the claim's state if the overwritten segment holds its latest.
+// carry copies a claim's state to the new segment if the overwritten segment contains
+// its latest record and it has not expired.
 func (r *ring) carry(next *write, id digest, sequence int64, now time.Time) error {
 	current, exists := r.index[id]
 	if !exists || current.sequence != sequence {
@@ -87,10 +89,10 @@
 	}
 	kept := expire(state, now, r.policy)
 	if kept == nil {
-		r.forget(id, current)
+		r.remove(id, current)
 		return nil
 	}
-	if err := current.shrink(id, state, kept, shortens(kept, now, r.policy)); err != nil {
+	if err := current.reencode(id, state, kept, canShorten(kept, now, r.policy)); err != nil {
 		return err
 	}
 	current.sequence = next.sequence
@@ -99,18 +101,18 @@
 	return nil
 }
 
-func (r *ring) forget(id digest, current held) {
+func (r *ring) remove(id digest, current indexEntry) {
 	r.bytes -= current.size()
 	delete(r.index, id)
 }
 
-// shrink encodes what is kept of the state, shortened where that may be.
-func (h *held) shrink(id digest, state, kept *claimv1.Record, shorten bool) error {
+// reencode updates the encoding to the kept state, as a short record if shorten is true.
+func (h *indexEntry) reencode(id digest, state, kept *claimv1.Record, shorten bool) error {
 	if h.short {
 		return nil
 	}
 	if shorten {
-		h.encoded, h.short = pack(id, kept), true
+		h.encoded, h.short = encodeShortRecord(id, kept), true
 		return nil
 	}
 	if kept == state {
@@ -121,37 +123,37 @@
 	return err
 }
 
-// maxBatchBytes bounds the changes that one write takes, so that a segment
-// stays well below platform.MaxValueBytes.
+// maxBatchBytes limits the pending changes in one write, so that a segment stays well
+// below platform.MaxValueBytes.
 const maxBatchBytes = 256 << 10
 
-// take moves pending changes into the write, unless what was carried fills the
-// segment already.
-func (r *ring) take(next *write) {
-	room := len(next.body) + maxBatchBytes
+// takePending moves pending changes into the write, unless the carried records already
+// fill the segment.
+func (r *ring) takePending(next *write) {
+	limit := len(next.body) + maxBatchBytes
 	if len(next.body) >= r.policy.SegmentBytes {
-		room = 0
+		limit = 0
 	}
 	taken := 0
 	for _, waiting := range r.pending {
-		if len(next.body) >= room {
+		if len(next.body) >= limit {
 			break
 		}
 		taken++
 		r.pendingBytes -= len(waiting.encoded)
-		next.durable = waiting.number
+		next.newestChange = waiting.number
 		if current, exists := r.index[waiting.digest]; exists {
 			current.sequence = next.sequence
 			r.index[waiting.digest] = current
 		}
-		next.append(waiting.digest, held{encoded: waiting.encoded})
+		next.append(waiting.digest, indexEntry{encoded: waiting.encoded})
 	}
 	r.pending = r.pending[taken:]
 }
 
-// append adds one record. The body is copied on its first growth, so that a
-// write never shares memory with the ring's.
-func (w *write) append(id digest, state held) {
+// append adds one record. The body is copied on first growth, so that the write does not
+// share memory with the ring.
+func (w *write) append(id digest, state indexEntry) {
 	if len(w.digests) == 0 {
 		w.body = append(make([]byte, 0, len(w.body)+len(state.encoded)+128), w.body...)
 	}
@@ -164,42 +166,44 @@
 	w.digests = append(w.digests, id)
 }
 
-// written notes that the write has taken effect at the revision.
-func (r *ring) written(done write, revision int64) {
-	place := &r.slots[r.position(done.sequence)]
-	if done.begins {
-		place.digests = nil
+// markWritten updates the ring after a write took effect at the given revision.
+func (r *ring) markWritten(done write, revision int64) {
+	segmentSlot := &r.slots[r.position(done.sequence)]
+	if done.opensSegment {
+		segmentSlot.digests = nil
 	}
-	place.digests = append(place.digests, done.digests...)
-	place.sequence = done.sequence
-	place.revision = revision
+	segmentSlot.digests = append(segmentSlot.digests, done.digests...)
+	segmentSlot.sequence = done.sequence
+	segmentSlot.revision = revision
 	r.tail = done.sequence
 	r.sealed = done.sealed
 	r.body = done.body
-	r.durable = done.durable
+	r.durableChange = done.newestChange
 	r.compact = false
 }
 
 func (r *ring) position(sequence int64) int { return int(sequence % int64(len(r.slots))) }
 
-// effect is what is known of a write.
+// effect is the known result of a write.
 type effect int
 
 const (
-	// effectLanded writes have taken effect.
-	effectLanded effect = iota + 1
-	// effectOpen writes may still take effect: the same write is sent again.
-	effectOpen
-	// effectSuperseded writes were refused: another holder has the ring.
+	// effectApplied: the write has taken effect.
+	effectApplied effect = iota + 1
+	// effectUnresolved: the write may still take effect; the same write is sent again.
+	effectUnresolved
+	// effectSuperseded: the write was refused, usually because another holder has taken
+	// over the ring.
 	effectSuperseded
-	// effectUnread writes were refused by a value that must be read first.
-	effectUnread
+	// effectNeedsRead: the write conflicted with a value that was not returned and must
+	// be read.
+	effectNeedsRead
 )
 
-// String returns the effect as used in counters.
+// String returns the effect as used in metric labels.
 func (e effect) String() string {
 	switch e {
-	case effectLanded:
+	case effectApplied:
 		return "landed"
 	case effectSuperseded:
 		return "superseded"
@@ -207,27 +211,27 @@
 	return "unresolved"
 }
 
-// judge says what the answer to the write's compare-and-swap means. Sending the
-// same write again is safe, as its condition holds once at most.
-func (w write) judge(answer platform.Entry, err error) (effect, int64) {
+// classify determines the effect from the result of the compare-and-swap. Sending the
+// same write again is safe, since its condition can hold at most once.
+func (w write) classify(answer platform.Entry, err error) (effect, int64) {
 	if err == nil {
-		return effectLanded, answer.Revision
+		return effectApplied, answer.Revision
 	}
 	if errors.Is(err, platform.ErrTooLarge) {
 		return effectSuperseded, 0
 	}
 	var conflict *platform.ConflictError
 	if !errors.As(err, &conflict) {
-		return effectOpen, 0
+		return effectUnresolved, 0
 	}
 	if conflict.Current.Revision != 0 && len(conflict.Current.Value) == 0 {
-		return effectUnread, 0
+		return effectNeedsRead, 0
 	}
-	return w.recognise(conflict.Current)
+	return w.classifyStored(conflict.Current)
 }
 
-// recognise tells the write's own value from another's.
-func (w write) recognise(found platform.Entry) (effect, int64) {
+// classifyStored determines whether the stored value is this write or another one.
+func (w write) classifyStored(found platform.Entry) (effect, int64) {
 	segment := &claimv1.Segment{}
 	if err := proto.Unmarshal(found.Value, segment); err != nil {
 		return effectSuperseded, 0
@@ -235,5 +239,5 @@
 	if uuidFromBytes(segment.GetWriteId()) != w.id {
 		return effectSuperseded, 0
 	}
-	return effectLanded, found.Revision
+	return effectApplied, found.Revision
 }
