--- a/internal/enginespeed/doc.go
+++ b/internal/enginespeed/doc.go
@@ -1,12 +1,11 @@
-// Package enginespeed learns how fast the replicas of an engine read prompts, from
-// the times to the first token that a node sees anyway.
+// Package enginespeed estimates how fast an engine's replicas prefill prompts, from the times
+// to first token that a node observes.
 //
-// The estimate follows the median, so that neither a replica that stalls nor a
-// prompt that turned out to be cached moves it far, and it takes in what else
-// slows reading down: the tokens that are generated between, and news of other
-// nodes that come late. It begins with a usual engine's speed and is within a
-// tenth of the real one after some twenty answers.
+// The estimate follows the median, so replicas that stall and prompts that were cached after
+// all have little effect on it. It includes whatever else delays the first token, such as
+// decode steps between prefill steps and outdated load reports from other nodes. It starts
+// from a typical engine's speed.
 //
-// It holds soft state, a few numbers for each upstream, for use under its owner's
-// lock. It starts no goroutine and knows no clock.
+// The state is soft: a few numbers per upstream, guarded by the caller's lock. The package
+// starts no goroutine and reads no clock.
 package enginespeed
--- a/internal/enginespeed/reading_test.go
+++ b/internal/enginespeed/reading_test.go
@@ -7,28 +7,27 @@
 	"time"
 )
 
-// engine answers after its first latency and the reading of the tokens.
+// engine answers after a fixed latency plus the prefill time of the prompt.
 type engine struct {
-	perMS float64
-	first float64
+	tokensPerMS float64
+	fixedMS     float64
 }
 
 func (e engine) answer(tokens int, noise float64) time.Duration {
-	return time.Duration((e.first + float64(tokens)/e.perMS) * noise * float64(time.Millisecond))
+	return time.Duration((e.fixedMS + float64(tokens)/e.tokensPerMS) * noise * float64(time.Millisecond))
 }
 
-// prompts draws lengths as they come: many short ones, and some long ones behind
-// others.
+// prompts draws a log-normal prompt length: many short prompts and a few long ones.
 func prompts(random *rand.Rand) int {
 	return int(200 + 400*math.Exp(2*random.NormFloat64()))
 }
 
-func TestTheSpeedOfAnEngineIsFoundFromItsAnswers(t *testing.T) {
+func TestEstimatorConvergesToEngineSpeed(t *testing.T) {
 	for name, e := range map[string]engine{
-		"the assumed one":        {50, 20},
-		"four times slower":      {12, 60},
-		"four times quicker":     {200, 8},
-		"a slow start, quick on": {100, 100},
+		"initial estimate":         {50, 20},
+		"four times slower":        {12, 60},
+		"four times faster":        {200, 8},
+		"high fixed latency, fast": {100, 100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5) {
@@ -39,10 +38,10 @@
 					r.Observe(tokens, e.answer(tokens, 0.8+0.4*random.Float64()))
 				}
 				for _, tokens := range []int{500, 3000, 20_000} {
-					got := time.Duration(r.first*float64(time.Millisecond)) + r.PrefillTime(tokens)
+					got := time.Duration(r.fixedMS*float64(time.Millisecond)) + r.PrefillTime(tokens)
 					want := e.answer(tokens, 1)
 					if ratio := float64(got) / float64(want); ratio < 0.7 || ratio > 1.4 {
-						t.Errorf("seed %d: %s expected for %d tokens, they take %s", seed, got, tokens, want)
+						t.Errorf("seed %d: expected first token after %s for %d tokens, want about %s", seed, got, tokens, want)
 					}
 				}
 			}
@@ -50,20 +49,19 @@
 	}
 }
 
-func TestASlowEngineIsNoticedWithinAFewAnswers(t *testing.T) {
+func TestEstimatorDetectsSlowEngineWithinTenAnswers(t *testing.T) {
 	slow := engine{15, 30}
 	r := NewEstimator()
 	for range 10 {
 		r.Observe(8000, slow.answer(8000, 1))
 	}
 	if speed := r.TokensPerMS(); speed > 25 {
-		t.Errorf("after ten long prompts an engine of 15 tokens a ms counts as one of %.0f", speed)
+		t.Errorf("estimated %.0f tokens/ms after ten long prompts, want at most 25 for an engine of 15", speed)
 	}
 }
 
-// Some answers say nothing of the speed: the prompt was cached after all, or the
-// replica stood still.
-func TestOddAnswersDoNotMoveTheSpeed(t *testing.T) {
+// Two answers in five are outliers: the prompt was cached after all, or the replica stalled.
+func TestEstimatorIgnoresOutliers(t *testing.T) {
 	e := engine{50, 20}
 	random := rand.New(rand.NewPCG(1, 1))
 	r := NewEstimator()
@@ -79,11 +77,11 @@
 		r.Observe(tokens, took)
 	}
 	if speed := r.TokensPerMS(); speed < 25 || speed > 100 {
-		t.Errorf("with two odd answers in five, 50 tokens a ms count as %.0f", speed)
+		t.Errorf("estimated %.0f tokens/ms with two outliers in five answers, want about 50", speed)
 	}
 }
 
-func TestNoAnswerLeavesFiguresFromWhichThereIsNoWayBack(t *testing.T) {
+func TestEstimatorRecoversFromExtremeAnswers(t *testing.T) {
 	r := NewEstimator()
 	for range 100_000 {
 		r.Observe(1, time.Hour)
@@ -101,6 +99,6 @@
 		r.Observe(tokens, e.answer(tokens, 1))
 	}
 	if speed := r.TokensPerMS(); speed < 35 || speed > 70 {
-		t.Errorf("50 tokens a ms count as %.0f", speed)
+		t.Errorf("estimated %.0f tokens/ms after recovery, want about 50", speed)
 	}
 }
--- a/internal/estimate/doc.go
+++ b/internal/estimate/doc.go
@@ -1,8 +1,7 @@
-// Package estimate learns what cannot be known in advance: how long answers
-// are, and how fast replicas prefill and generate.
+// Package estimate estimates answer lengths and replica speed from observed requests.
 //
-// It is pure and holds soft state: a bounded number of sketches (the least
-// recently used workspace's is dropped first), which age so that changes are
-// followed. Losing them, as at a start, means that nothing is refused by
-// estimate until enough answers were seen. A platform outage does not touch it.
+// Its state is soft: a bounded number of sketches per workspace and class, evicted least
+// recently used first, and rotated so that estimates follow changes. After a restart there are
+// no estimates until enough answers have been observed, and no request is refused because of
+// one. The package does not use the platform and is unaffected by its outages.
 package estimate
--- a/internal/estimate/lengths.go
+++ b/internal/estimate/lengths.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// maxLength is the longest answer told apart, in tokens. Without it one absurd
-// length would use up a sketch's bins.
+// maxLength caps observed lengths, in tokens, so that one extreme length cannot use up a
+// sketch's bins.
 const maxLength = 1 << 17
 
-// DefaultMaxSketches bounds the workspaces' sketches of one Lengths. A sketch
-// takes about 1.5 KiB a generation, so that eight upstreams stay under 13 MiB.
+// DefaultMaxSketches bounds the workspace sketches of one Lengths. A sketch takes about 1.5
+// KiB per generation, so eight upstreams stay under 13 MiB.
 const DefaultMaxSketches = 512
 
-// Lengths estimates answers' lengths in tokens for one upstream, by class and
-// workspace; where too few were seen by class, then over all. It is not safe
-// for concurrent use.
+// Lengths estimates the answer lengths of one upstream, in tokens, by workspace and class.
+// Where a workspace has too few answers it falls back to the class, then to the whole
+// upstream. It is not safe for concurrent use.
 type Lengths struct {
 	maxSketches int
 	all         *sketch
 	classes     map[string]*sketch
-	workspaces  map[key]*list.Element
-	// recent lists the workspaces' sketches, the last used first.
+	workspaces  map[sketchKey]*list.Element
+	// recent lists the workspace sketches, most recently used first.
 	recent *list.List
 }
 
-type key struct {
+type sketchKey struct {
 	class     string
 	workspace string
 }
 
 type workspaceSketch struct {
-	key    key
+	key    sketchKey
 	sketch *sketch
 }
 
-// NewLengths returns an empty estimator that keeps up to maxSketches sketches
-// of a workspace in a class; zero takes DefaultMaxSketches.
+// NewLengths returns an empty estimator with up to maxSketches workspace sketches; zero means
+// DefaultMaxSketches.
 func NewLengths(maxSketches int) *Lengths {
 	if maxSketches <= 0 {
 		maxSketches = DefaultMaxSketches
@@ -44,13 +44,14 @@
 	return &Lengths{
 		maxSketches: maxSketches,
 		classes:     make(map[string]*sketch),
-		workspaces:  make(map[key]*list.Element),
+		workspaces:  make(map[sketchKey]*list.Element),
 		recent:      list.New(),
 	}
 }
 
-// Observe takes in the length in tokens of an answer. Of one that was cut
-// short, what came counts as well: without it long answers would be missing.
+// Observe records the length of an answer in tokens. For an interrupted answer, the tokens
+// received so far count as well: leaving these out would bias the estimate towards short
+// answers.
 func (l *Lengths) Observe(now time.Time, class, workspace string, tokens int) {
 	if tokens < 1 {
 		return
@@ -61,7 +62,7 @@
 	}
 	l.all.add(now, length)
 	l.class(now, class).add(now, length)
-	l.workspace(now, key{class, workspace}).add(now, length)
+	l.workspace(now, sketchKey{class, workspace}).add(now, length)
 }
 
 func (l *Lengths) class(now time.Time, class string) *sketch {
@@ -73,7 +74,7 @@
 	return s
 }
 
-// RetainClasses forgets the sketches of classes that are no longer known.
+// RetainClasses drops the sketches of classes for which known returns false.
 func (l *Lengths) RetainClasses(known func(class string) bool) {
 	for class := range l.classes {
 		if !known(class) {
@@ -82,7 +83,7 @@
 	}
 }
 
-func (l *Lengths) workspace(now time.Time, k key) *sketch {
+func (l *Lengths) workspace(now time.Time, k sketchKey) *sketch {
 	if element, ok := l.workspaces[k]; ok {
 		l.recent.MoveToFront(element)
 		return element.Value.(*workspaceSketch).sketch
@@ -97,19 +98,19 @@
 	return w.sketch
 }
 
-// Quantile returns an estimate in tokens; quantile is Median, P75 or P90. It
-// is false while too few answers were seen at all.
+// Quantile returns an estimated answer length in tokens; quantile is Median, P75 or P90. It
+// returns false while the upstream has too few answers.
 func (l *Lengths) Quantile(class, workspace string, quantile int) (float64, bool) {
-	if element, ok := l.workspaces[key{class, workspace}]; ok {
+	if element, ok := l.workspaces[sketchKey{class, workspace}]; ok {
 		if s := element.Value.(*workspaceSketch).sketch; s.trusted() {
-			return s.kept[quantile], true
+			return s.quantileValues[quantile], true
 		}
 	}
 	if s, ok := l.classes[class]; ok && s.trusted() {
-		return s.kept[quantile], true
+		return s.quantileValues[quantile], true
 	}
 	if l.all != nil && l.all.trusted() {
-		return l.all.kept[quantile], true
+		return l.all.quantileValues[quantile], true
 	}
 	return 0, false
 }
--- a/internal/estimate/lengths_test.go
+++ b/internal/estimate/lengths_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestQuantileFallsBack(t *testing.T) {
+func TestQuantileFallsBackToClassThenUpstream(t *testing.T) {
 	l := NewLengths(0)
 	if _, ok := l.Quantile("quick", "a", Median); ok {
 		t.Error("an empty estimator gave an estimate")
@@ -38,14 +38,14 @@
 	wantNear(t, l, "unseen", "a", 500)
 }
 
-func TestOldLengthsAreForgotten(t *testing.T) {
+func TestOldLengthsExpire(t *testing.T) {
 	l := NewLengths(0)
 	observe(l, start, "quick", "a", 1000, 100)
-	observe(l, start.Add(2*generation), "quick", "a", 50, minCount)
+	observe(l, start.Add(2*generationTime), "quick", "a", 50, minCount)
 	wantNear(t, l, "quick", "a", 50)
 }
 
-func TestOddLengthsDoNoHarm(t *testing.T) {
+func TestInvalidAndExtremeLengthsDoNotSkewEstimate(t *testing.T) {
 	l := NewLengths(0)
 	for _, tokens := range []int{0, -1, math.MaxInt} {
 		observe(l, start, "quick", "a", tokens, 1)
@@ -54,21 +54,21 @@
 	wantNear(t, l, "quick", "a", 100)
 }
 
-func TestWorkspacesAreBounded(t *testing.T) {
+func TestWorkspaceSketchesAreBounded(t *testing.T) {
 	l := NewLengths(100)
 	for i := range 1000 {
 		l.Observe(start, "quick", strconv.Itoa(i), 10)
 		l.Observe(start, "quick", "busy", 10)
 	}
 	if len(l.workspaces) != 100 || l.recent.Len() != 100 {
-		t.Errorf("keeps %d and %d sketches, want 100", len(l.workspaces), l.recent.Len())
+		t.Errorf("%d sketches in the map and %d in the list, want 100", len(l.workspaces), l.recent.Len())
 	}
-	if _, ok := l.workspaces[key{"quick", "busy"}]; !ok {
-		t.Error("the workspace used last was dropped")
+	if _, ok := l.workspaces[sketchKey{"quick", "busy"}]; !ok {
+		t.Error("the most recently used workspace was evicted")
 	}
 }
 
-// BenchmarkWorkspaceBytes reports the memory of a sketch in use.
+// BenchmarkWorkspaceBytes reports the heap of one workspace sketch.
 func BenchmarkWorkspaceBytes(b *testing.B) {
 	const count = 11000
 	for b.Loop() {
--- a/internal/estimate/sketch.go
+++ b/internal/estimate/sketch.go
@@ -10,37 +10,38 @@
 )
 
 const (
-	// accuracy is the sketches' relative error.
+	// accuracy is the relative error of the sketches.
 	accuracy = 0.05
-	// maxBins covers lengths from 1 to over 100,000 tokens.
+	// maxBins covers lengths from 1 to over 100,000 tokens at this accuracy.
 	maxBins = 128
-	// generation is how long a sketch is filled before it is only read, for
-	// as long again.
-	generation = 5 * time.Minute
-	// minCount is the number of lengths from which a sketch is trusted.
+	// generationTime is how long a sketch is written before it is rotated; it is then read for as
+	// long again.
+	generationTime = 5 * time.Minute
+	// minCount is the number of answers from which a sketch is trusted.
 	minCount = 10
-	// refresh is how many new lengths make the kept quantiles out of date.
-	refresh = 16
+	// refreshEvery is the number of new answers after which the quantiles are recomputed.
+	refreshEvery = 16
 )
 
-// The quantiles that a sketch keeps ready.
+// Quantiles that a sketch precomputes.
 const (
 	Median = iota
 	P75
 	P90
-	quantiles
+	numQuantiles
 )
 
-var levels = [quantiles]float64{0.5, 0.75, 0.9}
+var quantileLevels = [numQuantiles]float64{0.5, 0.75, 0.9}
 
-// sketch holds lengths in two generations, the filled one and the one before.
+// sketch is a quantile sketch of answer lengths in two generations, of which only the current
+// one is written.
 type sketch struct {
-	current  *ddsketch.DDSketch
-	previous *ddsketch.DDSketch
-	began    time.Time
-	fresh    int
-	count    float64
-	kept     [quantiles]float64
+	current        *ddsketch.DDSketch
+	previous       *ddsketch.DDSketch
+	startedAt      time.Time
+	sinceRefresh   int
+	count          float64
+	quantileValues [numQuantiles]float64
 }
 
 func newDDSketch() *ddsketch.DDSketch {
@@ -52,54 +53,53 @@
 }
 
 func newSketch(now time.Time) *sketch {
-	return &sketch{current: newDDSketch(), began: now}
+	return &sketch{current: newDDSketch(), startedAt: now}
 }
 
-// add takes in a length of at least 1.
+// add records a length of at least 1.
 func (s *sketch) add(now time.Time, length float64) {
-	s.age(now)
-	// Add fails for lengths out of the mapping's range alone, and these are
-	// of no use to an estimate.
+	s.rotate(now)
+	// Add fails only for lengths outside the mapping's range, which can be ignored.
 	if s.current.Add(length) != nil {
 		return
 	}
-	s.fresh++
+	s.sinceRefresh++
 	s.count++
-	if s.fresh >= refresh || s.count <= minCount {
-		s.recount()
+	if s.sinceRefresh >= refreshEvery || s.count <= minCount {
+		s.refreshQuantiles()
 	}
 }
 
-func (s *sketch) age(now time.Time) {
-	age := now.Sub(s.began)
-	if age < generation {
+func (s *sketch) rotate(now time.Time) {
+	age := now.Sub(s.startedAt)
+	if age < generationTime {
 		return
 	}
 	s.previous = s.current
-	if age >= 2*generation {
+	if age >= 2*generationTime {
 		s.previous = nil
 	}
 	s.current = newDDSketch()
-	s.began = now
-	s.recount()
+	s.startedAt = now
+	s.refreshQuantiles()
 }
 
-// recount works out the kept quantiles.
-func (s *sketch) recount() {
-	s.fresh = 0
+// refreshQuantiles recomputes quantileValues from both generations.
+func (s *sketch) refreshQuantiles() {
+	s.sinceRefresh = 0
 	both := s.current
 	if s.previous != nil {
 		both = s.current.Copy()
-		// Both have the same mapping, so that MergeWith cannot fail.
+		// MergeWith fails only for different mappings.
 		_ = both.MergeWith(s.previous)
 	}
 	s.count = both.GetCount()
-	values, err := both.GetValuesAtQuantiles(levels[:])
+	values, err := both.GetValuesAtQuantiles(quantileLevels[:])
 	if err != nil {
 		return
 	}
 	for i, value := range values {
-		s.kept[i] = math.Round(value)
+		s.quantileValues[i] = math.Round(value)
 	}
 }
 
--- a/internal/replica/change.go
+++ b/internal/replica/change.go
@@ -1,9 +1,9 @@
 package replica
 
-// ChangeKind says what happened to a replica.
+// ChangeKind is the kind of change to a replica.
 type ChangeKind string
 
-// The kinds of changes.
+// Kinds of changes.
 const (
 	Added           ChangeKind = "appeared"
 	StartedDraining ChangeKind = "draining"
--- a/internal/replica/delta.go
+++ b/internal/replica/delta.go
@@ -5,23 +5,22 @@
 	"slices"
 )
 
-// maxDeltas bounds the listings whose difference from the newest is remembered:
-// at ten changes a second those of some three seconds, in which each node is
-// asked several times.
+// maxDeltas bounds the stored deltas: about three seconds at ten changes a second, in which
+// other nodes fetch the listing several times.
 const maxDeltas = 32
 
-// Delta is what turns one listing into another.
+// Delta is the difference between two listings.
 type Delta struct {
-	// From is the digest of the listing to change.
+	// From is the digest of the listing to which the delta applies.
 	From uint64
-	// Changed are the replicas that are new or registered otherwise.
+	// Changed are the replicas that are new or whose registration changed.
 	Changed []Replica
-	// Removed are the identities of those that are listed no more.
+	// Removed are the IDs of replicas that are no longer listed.
 	Removed []string
 }
 
-// deltaOf is what turns old into next.
-func deltaOf(old, next Listing) Delta {
+// diffListings returns the delta from old to next.
+func diffListings(old, next Listing) Delta {
 	delta := Delta{From: old.Digest}
 	left := make(map[string]Replica, len(old.Replicas))
 	for _, r := range old.Replicas {
@@ -37,8 +36,8 @@
 	return delta
 }
 
-// join is what both turn a listing into, one after the other.
-func (d Delta) join(next Delta) Delta {
+// compose returns the delta equivalent to applying d and then next.
+func (d Delta) compose(next Delta) Delta {
 	changed := make(map[string]Replica, len(d.Changed)+len(next.Changed))
 	removed := make(map[string]bool, len(d.Removed)+len(next.Removed))
 	for _, part := range []Delta{d, next} {
@@ -58,7 +57,7 @@
 	return joined
 }
 
-// Apply is the listing's replicas with the delta's changes.
+// Apply returns a copy of list with the delta applied.
 func (d Delta) Apply(list []Replica) []Replica {
 	changed := make(map[string]bool, len(d.Changed))
 	for _, r := range d.Changed {
@@ -70,16 +69,17 @@
 	return append(next, d.Changed...)
 }
 
-// remember keeps what turns the listing in force into next.
-func (s *Set) remember(next Listing) {
-	s.deltas = append(s.deltas, deltaOf(s.listing, next))
+// rememberDelta stores the delta from the current listing to next, dropping the oldest delta
+// beyond maxDeltas. The lock is held.
+func (s *Set) rememberDelta(next Listing) {
+	s.deltas = append(s.deltas, diffListings(s.listing, next))
 	if over := len(s.deltas) - maxDeltas; over > 0 {
 		s.deltas = slices.Delete(s.deltas, 0, over)
 	}
 }
 
-// DeltaSince is what turns the listing of the digest into the newest, where that is
-// remembered. Zero is the digest of no listing.
+// DeltaSince returns the delta from the listing with the digest to the newest one; false if it
+// is no longer stored. Zero is not a valid digest.
 func (s *Set) DeltaSince(digest uint64) (Delta, bool) {
 	if digest == 0 {
 		return Delta{}, false
@@ -97,7 +97,7 @@
 	}
 	joined := s.deltas[first]
 	for _, delta := range s.deltas[first+1:] {
-		joined = joined.join(delta)
+		joined = joined.compose(delta)
 	}
 	return joined, true
 }
--- a/internal/replica/delta_test.go
+++ b/internal/replica/delta_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestDeltasLeadFromEachListingToTheNewest changes a set at random and follows it
-// with a second one by the differences alone.
-func TestDeltasLeadFromEachListingToTheNewest(t *testing.T) {
+// Applies random changes to a set and checks that every earlier listing plus its delta has the
+// newest digest.
+func TestDeltaFromEachListingYieldsNewest(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		source := NewSet()
@@ -35,33 +35,34 @@
 				}
 				delta, found := source.DeltaSince(old.Digest)
 				if !found {
-					t.Fatalf("seed %d, step %d: nothing leads on from listing %d", seed, step, back)
+					t.Fatalf("seed %d, step %d: no delta from listing %d", seed, step, back)
 				}
 				if got := Digest(delta.Apply(old.Replicas)); got != newest.Digest {
-					t.Fatalf("seed %d, step %d: from listing %d by %+v to digest %x, want %x", seed, step, back, delta, got, newest.Digest)
+					t.Fatalf("seed %d, step %d: listing %d with delta %+v has digest %x, want %x", seed, step, back, delta, got, newest.Digest)
 				}
 			}
 		}
 	}
 }
 
-func TestAnUnknownListingHasNoDelta(t *testing.T) {
+func TestUnknownDigestHasNoDelta(t *testing.T) {
 	s := NewSet()
 	s.Update(listing(1, "a"), at(0), at(0))
 	s.Update(listing(2, "a", "b"), at(100), at(100))
 	if delta, found := s.DeltaSince(12345); found {
-		t.Errorf("delta %+v of a listing that this set never had", delta)
+		t.Errorf("got delta %+v for a digest that the set never had", delta)
 	}
 	for i := range 2 * maxDeltas {
 		s.Update(listing(int64(3+i), "a", fmt.Sprint(i)), at(200+i), at(200+i))
 	}
 	if len(s.deltas) > maxDeltas {
-		t.Errorf("%d deltas are remembered", len(s.deltas))
+		t.Errorf("%d deltas stored, want at most maxDeltas", len(s.deltas))
 	}
 }
 
-// TestTheSameListingCostsNothing: each exchange with another node confirms it.
-func TestTheSameListingCostsNothing(t *testing.T) {
+// Every exchange with another node confirms the current listing, so that path must not
+// allocate.
+func TestUpdateWithSameListingDoesNotAllocate(t *testing.T) {
 	s := NewSet()
 	s.Update(listing(1, "a", "b", "c"), at(0), at(0))
 	same, _ := s.Latest()
@@ -71,9 +72,9 @@
 		s.Update(Listing{Revision: revision, Replicas: same.Replicas, Digest: same.Digest}, at(int(revision)*100), at(int(revision)*100))
 	})
 	if allocations != 0 {
-		t.Errorf("%v allocations for a listing of the same replicas", allocations)
+		t.Errorf("%v allocations for a listing of the same replicas, want 0", allocations)
 	}
 	if newest, readAt := s.Latest(); newest.Revision != revision || readAt != at(int(revision)*100) {
-		t.Errorf("listing of revision %d read at %v", newest.Revision, readAt)
+		t.Errorf("latest listing has revision %d and was read at %v", newest.Revision, readAt)
 	}
 }
--- a/internal/replica/listing.go
+++ b/internal/replica/listing.go
@@ -10,12 +10,12 @@
 type Listing struct {
 	Revision int64
 	Replicas []Replica
-	// Digest is equal for listings of the same replicas, whatever their order.
-	// A Set works it out where it is zero.
+	// Digest is equal for listings of the same replicas in any order. A Set computes it if it is
+	// zero.
 	Digest uint64
 }
 
-// Digest adds up the replicas' hashes.
+// Digest returns an order-independent hash of the replicas.
 func Digest(list []Replica) uint64 {
 	var sum uint64
 	var slots, started [8]byte
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -2,21 +2,21 @@
 
 // Replica is one registered process of an upstream.
 type Replica struct {
-	// ID names the replica. A process that starts again may keep it.
+	// ID identifies the replica. A restarted process may keep it.
 	ID string
-	// StartedAt is the Unix millisecond of the process's start, by its own clock;
-	// zero: it does not say. Together with the ID it names one process.
+	// StartedAt is the process's start in Unix milliseconds by its own clock; zero if it is not
+	// reported. ID and StartedAt together identify one process.
 	StartedAt int64
-	// Upstream is the name of the upstream it serves.
+	// Upstream is the name of the upstream that the replica belongs to.
 	Upstream string
-	// Address is its IP address and port. A later process may get it again.
+	// Address is the IP address and port. A later process may reuse it.
 	Address          string
 	AvailabilityZone string
-	// Slots is the number of requests it runs at once.
+	// Slots is the number of requests that the replica runs concurrently.
 	Slots int
-	// Draining replicas get nothing new.
+	// Draining replicas receive no new requests.
 	Draining bool
-	// Reclaimable replicas cost less, and the platform may take all of an availability
-	// zone away at short notice.
+	// Reclaimable replicas run on discounted capacity: the platform may take all of them in an
+	// availability zone away at short notice.
 	Reclaimable bool
 }
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -10,24 +10,23 @@
 )
 
 const (
-	// outageFrom is the gap between two reads from which the store counts as
-	// having been away: a read is made at least every second.
-	outageFrom = 2 * time.Second
-	// returnTime is how long after such a gap a missing replica is kept. The
-	// platform says that registrations which lapsed in an outage are back
-	// about two seconds after its end.
-	returnTime = 2 * time.Second
+	// outageGap is the time between two reads from which the store counts as unavailable: reads
+	// are made at least once a second.
+	outageGap = 2 * time.Second
+	// outageGrace is how long a replica that is missing after an outage is kept: according to the
+	// platform, registrations that expired in an outage are back about two seconds after its end.
+	outageGrace = 2 * time.Second
 )
 
-// Set is the replicas that are known. It is safe for concurrent use.
+// Set is the set of known replicas. It is safe for concurrent use.
 type Set struct {
-	mu       sync.RWMutex
-	listing  Listing
-	readAt   boottime.Instant
-	keepTill boottime.Instant
-	// deltas lead from earlier listings to the one in force, oldest first.
+	mu               sync.RWMutex
+	listing          Listing
+	readAt           boottime.Instant
+	keepMissingUntil boottime.Instant
+	// deltas lead from earlier listings to the current one, oldest first.
 	deltas []Delta
-	// known holds the replicas of the listing and those kept after an outage.
+	// known is the replicas of the listing and those kept after an outage, by ID.
 	known      map[string]Replica
 	byUpstream map[string][]Replica
 }
@@ -37,41 +36,41 @@
 	return &Set{known: make(map[string]Replica), byUpstream: make(map[string][]Replica)}
 }
 
-// Update puts a listing in force that was read from readAt on, and returns what
-// has changed. An older listing than the last is dropped.
+// Update replaces the current listing by one whose read began at readAt, and returns the
+// changes. A listing with an older revision is ignored.
 func (s *Set) Update(l Listing, readAt, now boottime.Instant) []Change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.Revision < s.listing.Revision {
 		return nil
 	}
-	if s.readAt != 0 && readAt.Sub(s.readAt) > outageFrom {
-		s.keepTill = now.Add(returnTime)
+	if s.readAt != 0 && readAt.Sub(s.readAt) > outageGap {
+		s.keepMissingUntil = now.Add(outageGrace)
 	}
 	s.readAt = max(s.readAt, readAt)
 	if l.Digest == 0 {
 		l.Digest = Digest(l.Replicas)
 	}
 	if l.Digest != s.listing.Digest {
-		s.remember(l)
+		s.rememberDelta(l)
 	} else if len(s.known) == len(l.Replicas) {
-		// The same replicas again and none kept besides: each exchange with
-		// another node brings that, and comparing a thousand takes half a
-		// millisecond.
+		// Every exchange with another node confirms the current listing; skip the comparison of all
+		// replicas.
 		s.listing = l
 		return nil
 	}
 	s.listing = l
-	return s.replace(s.next(now))
+	return s.setKnown(s.withMissing(now))
 }
 
-// next is the listing's replicas and those that are kept though missing.
-func (s *Set) next(now boottime.Instant) map[string]Replica {
+// withMissing returns the replicas of the listing and, within outageGrace, those that are
+// missing from it. The lock is held.
+func (s *Set) withMissing(now boottime.Instant) map[string]Replica {
 	next := make(map[string]Replica, len(s.listing.Replicas))
 	for _, r := range s.listing.Replicas {
 		next[r.ID] = r
 	}
-	if now.Sub(s.keepTill) >= 0 {
+	if now.Sub(s.keepMissingUntil) >= 0 {
 		return next
 	}
 	for id, r := range s.known {
@@ -82,7 +81,7 @@
 	return next
 }
 
-func (s *Set) replace(next map[string]Replica) []Change {
+func (s *Set) setKnown(next map[string]Replica) []Change {
 	var changes []Change
 	for id, r := range next {
 		old, had := s.known[id]
@@ -104,13 +103,13 @@
 		return nil
 	}
 	s.known = next
-	s.byUpstream = group(next)
+	s.byUpstream = groupByUpstream(next)
 	return changes
 }
 
-// group lists the replicas by upstream, in the order of their identities so
-// that all nodes have the same order.
-func group(known map[string]Replica) map[string][]Replica {
+// groupByUpstream lists the replicas by upstream, sorted by ID so that all nodes have the same
+// order.
+func groupByUpstream(known map[string]Replica) map[string][]Replica {
 	grouped := make(map[string][]Replica)
 	for _, id := range slices.Sorted(maps.Keys(known)) {
 		r := known[id]
@@ -119,15 +118,15 @@
 	return grouped
 }
 
-// ForUpstream returns the upstream's replicas, draining ones included. The slice is
-// shared and not to be changed.
+// ForUpstream returns the upstream's replicas, including draining ones. Callers must not
+// modify the slice.
 func (s *Set) ForUpstream(upstream string) []Replica {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.byUpstream[upstream]
 }
 
-// Usable says whether a replica may get new requests now.
+// Usable reports whether the replica is known and not draining.
 func (s *Set) Usable(id string) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -135,7 +134,7 @@
 	return ok && !r.Draining
 }
 
-// HasProcess says whether the process of a replica is known.
+// HasProcess reports whether the replica is known with this process start time.
 func (s *Set) HasProcess(id string, startedAt int64) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -143,15 +142,14 @@
 	return ok && r.StartedAt == startedAt
 }
 
-// Latest returns the newest listing and when its read began; zero where there
-// is none.
+// Latest returns the newest listing and when its read began; zero values before the first.
 func (s *Set) Latest() (Listing, boottime.Instant) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.listing, s.readAt
 }
 
-// HasListing says whether a listing was taken.
+// HasListing reports whether any listing has been read.
 func (s *Set) HasListing() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/replica/set_test.go
+++ b/internal/replica/set_test.go
@@ -8,7 +8,7 @@
 	"galenatrestle/internal/boottime"
 )
 
-// at is the instant so many milliseconds after the start.
+// at returns the instant ms milliseconds after the start.
 func at(ms int) boottime.Instant { return boottime.Instant(time.Duration(ms) * time.Millisecond) }
 
 func listing(revision int64, ids ...string) Listing {
@@ -27,7 +27,7 @@
 	return list
 }
 
-func TestAMissingReplicaIsGoneAtOnce(t *testing.T) {
+func TestMissingReplicaIsRemovedImmediately(t *testing.T) {
 	s := NewSet()
 	s.Update(listing(1, "a", "b"), at(1000), at(1010))
 	changes := s.Update(listing(2, "a"), at(1600), at(1610))
@@ -39,21 +39,21 @@
 	}
 }
 
-func TestReplicasThatLapsedInAnOutageAreKeptForAWhile(t *testing.T) {
+func TestReplicasMissingAfterOutageAreKeptForGracePeriod(t *testing.T) {
 	s := NewSet()
 	s.Update(listing(1, "a", "b", "c"), at(1000), at(1010))
 	s.Update(listing(2, "a"), at(7000), at(7010))
 	if !slices.Equal(ids(s), []string{"a", "b", "c"}) {
-		t.Errorf("just after the outage: %v", ids(s))
+		t.Errorf("right after the outage: replicas %v, want a, b and c", ids(s))
 	}
 	s.Update(listing(3, "a", "b"), at(8000), at(8010))
 	s.Update(listing(4, "a", "b"), at(9020), at(9030))
 	if !slices.Equal(ids(s), []string{"a", "b"}) {
-		t.Errorf("two seconds after the outage: %v, want c gone", ids(s))
+		t.Errorf("two seconds after the outage: replicas %v, want a and b", ids(s))
 	}
 }
 
-func TestAnOlderListingChangesNothing(t *testing.T) {
+func TestOlderListingIsIgnored(t *testing.T) {
 	s := NewSet()
 	s.Update(listing(5, "a", "b"), at(1000), at(1010))
 	if changes := s.Update(listing(4, "a"), at(1100), at(1110)); changes != nil || len(ids(s)) != 2 {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestADrainingReplicaIsKnownButNotUsable(t *testing.T) {
+func TestDrainingReplicaIsNotUsable(t *testing.T) {
 	s := NewSet()
 	s.Update(listing(1, "a"), at(1000), at(1010))
 	draining := listing(2, "a")
