--- a/internal/placement/attempt.go
+++ b/internal/placement/attempt.go
@@ -6,94 +6,95 @@
 	"galenatrestle/internal/replica"
 )
 
-// Attempt is one request's stay at a replica. It is for one goroutine.
+// Attempt is one request bound to a replica. It is not safe for concurrent use.
 type Attempt struct {
 	Replica replica.Replica
-	// Choice is what the replica was chosen by.
+	// Choice is the data that the replica was chosen by.
 	Choice Choice
-	// CopyFrom is the address of another replica that may have read parts of the
-	// prompt which this one has not; empty: none.
+	// CopyFrom is the address of another replica that may have cached parts of the prompt which
+	// this one has not; empty: none.
 	CopyFrom string
-	// NeedsPermit says that the replica names a rate: the attempt may begin with a permit
-	// only.
+	// NeedsPermit says that the replica is rate limited: the request may be sent only after
+	// PermitGranted.
 	NeedsPermit bool
 
 	upstream  *upstream
-	state     *state
+	state     *replicaState
 	startedAt time.Time
-	// reading is what the attempt still counts for among the prompt tokens of its
-	// rank.
-	reading int
-	rank    int
-	// work is the prompt tokens that the replica had to read before the first token.
-	work int
-	// shared are the prompt's shared parts.
+	// pendingPrefill is the attempt's prompt tokens still counted in the replica's backlog.
+	pendingPrefill int
+	rank           int
+	// prefillTokens is the number of prompt tokens to prefill before the first token, including
+	// those of other requests.
+	prefillTokens int
+	// shared is the prompt's shared parts.
 	shared []PromptPart
-	// tokens is what it takes of the replica's memory.
-	tokens int
-	light  bool
-	ended  bool
-	// begunAt is when the answer began.
-	begunAt time.Time
+	// tokensInMemory is what the attempt takes of the replica's memory.
+	tokensInMemory  int
+	shortPrompt     bool
+	ended           bool
+	answerStartedAt time.Time
 }
 
-// PermitGranted notes that there is a permit for the attempt.
+// PermitGranted records that a rate limit permit was granted and the request is about to be
+// sent.
 func (a *Attempt) PermitGranted(now time.Time) {
 	a.upstream.mu.Lock()
 	defer a.upstream.mu.Unlock()
 	a.startedAt = now
-	a.sent(now)
+	a.recordSent(now)
 }
 
-// sent notes that the request is on its way to the replica. The lock is held.
-func (a *Attempt) sent(now time.Time) {
+// recordSent records that the request is being sent to the replica. The lock is held.
+func (a *Attempt) recordSent(now time.Time) {
 	s := a.state
 	s.cache.add(now, a.shared)
-	a.upstream.placed.add(now, s.replica.ID, a.shared)
+	a.upstream.recentPlacements.add(now, s.replica.ID, a.shared)
 	if s.waitingSince.IsZero() || s.running == 1 {
 		s.waitingSince = now
 	}
 }
 
-// AnswerStarted notes the first byte of an answer that counts.
+// AnswerStarted records the first byte of a successful answer.
 func (a *Attempt) AnswerStarted(now time.Time) {
 	a.upstream.mu.Lock()
 	defer a.upstream.mu.Unlock()
-	a.upstream.reading.Observe(a.work, now.Sub(a.startedAt))
-	a.state.cache.read(now, a.shared)
-	a.begunAt = now
-	a.heard(now)
+	a.upstream.prefillSpeed.Observe(a.prefillTokens, now.Sub(a.startedAt))
+	a.state.cache.markPrefilled(now, a.shared)
+	a.answerStartedAt = now
+	a.recordData(now)
 	a.state.recover(now)
 }
 
-// ErrorReceived notes that the replica gave a failure of its own.
+// ErrorReceived records that the replica answered with an error.
 func (a *Attempt) ErrorReceived(now time.Time) {
 	a.upstream.mu.Lock()
 	defer a.upstream.mu.Unlock()
-	a.heard(now)
+	a.recordData(now)
 	a.state.recover(now)
 }
 
-// DataReceived notes a further byte of the answer.
+// DataReceived records further bytes of the answer.
 func (a *Attempt) DataReceived(now time.Time) {
 	a.upstream.mu.Lock()
 	defer a.upstream.mu.Unlock()
-	a.heard(now)
+	a.recordData(now)
 }
 
-// heard notes a sign of the replica: the prompt is read by then. The lock is held.
-func (a *Attempt) heard(now time.Time) {
-	a.read()
-	a.state.heardAt = now
+// recordData records data from the replica, which implies that the prompt is prefilled. The
+// lock is held.
+func (a *Attempt) recordData(now time.Time) {
+	a.removePrefill()
+	a.state.lastDataAt = now
 }
 
-// read takes the attempt out of the prompts that are being read.
-func (a *Attempt) read() {
-	a.state.reading.add(a.rank, -a.reading)
-	a.reading = 0
+// removePrefill takes the attempt's prompt out of the replica's prefill backlog.
+func (a *Attempt) removePrefill() {
+	a.state.prefillBacklog.add(a.rank, -a.pendingPrefill)
+	a.pendingPrefill = 0
 }
 
-// End notes how the attempt ended. Further calls do nothing.
+// End records the result of the attempt. Only the first call has an effect.
 func (a *Attempt) End(now time.Time, result Result) {
 	if a.ended {
 		return
@@ -101,11 +102,11 @@
 	a.ended = true
 	a.upstream.mu.Lock()
 	defer a.upstream.mu.Unlock()
-	a.read()
+	a.removePrefill()
 	a.state.running--
-	a.state.tokens -= a.tokens
-	if a.light {
-		a.state.light--
+	a.state.tokensInMemory -= a.tokensInMemory
+	if a.shortPrompt {
+		a.state.runningShort--
 	}
 	if a.state.running == 0 {
 		a.state.waitingSince = time.Time{}
@@ -113,18 +114,18 @@
 	switch result {
 	case Cancelled:
 	case Answered:
-		a.state.heardAt = now
+		a.state.lastDataAt = now
 		a.state.recover(now)
-		a.upstream.learn(now.Sub(a.startedAt))
-		if !a.begunAt.IsZero() {
-			a.upstream.learnAnswer(now.Sub(a.begunAt))
+		a.upstream.learnServiceTime(now.Sub(a.startedAt))
+		if !a.answerStartedAt.IsZero() {
+			a.upstream.learnAnswerTime(now.Sub(a.answerStartedAt))
 		}
 	default:
-		a.state.fail(now, penalties[result])
+		a.state.addFailure(now, penalties[result])
 	}
 }
 
-// learn takes in the time of an answer. The lock is held.
-func (u *upstream) learn(took time.Duration) {
-	u.workMS += workWeight * (float64(took.Milliseconds()) - u.workMS)
+// learnServiceTime updates the average service time. The lock is held.
+func (u *upstream) learnServiceTime(took time.Duration) {
+	u.serviceMS += serviceWeight * (float64(took.Milliseconds()) - u.serviceMS)
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -9,7 +9,7 @@
 	"galenatrestle/internal/replica"
 )
 
-// BenchmarkChoose is one choice among engines, with the news of other nodes.
+// BenchmarkChoose measures one choice among engine replicas.
 func BenchmarkChoose(b *testing.B) {
 	for _, replicas := range []int{12, 60, 3000} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
@@ -22,7 +22,7 @@
 	}
 }
 
-// BenchmarkLoads is what a node tells of its own load, and what it takes in.
+// BenchmarkLoads measures reporting this node's loads and applying a fleet-wide sum.
 func BenchmarkLoads(b *testing.B) {
 	p, now := benchPlacer(3000)
 	loads := p.Loads(now)
@@ -31,7 +31,7 @@
 	}
 }
 
-// benchPlacer returns a placer among so many engines, of which ten are in use.
+// benchPlacer returns a placer with the given number of replicas, ten of them in use.
 func benchPlacer(replicas int) (*Placer, time.Time) {
 	set := replica.NewSet()
 	listing := replica.Listing{Revision: 1}
--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -3,104 +3,98 @@
 import "time"
 
 const (
-	// cachedFor is how long a part is taken to stay in a replica's cache after
-	// its last use by this node: at the usual load a replica's memory is
-	// written over in about twice this time.
-	cachedFor = 12 * time.Second
-	// readAfter is how long after a prompt was sent to a replica its parts count as
-	// read there, where this node did not see the answer begin: longer than most
-	// prompts wait. Copying a part that is not read yet brings nothing, and it is
-	// read twice.
-	readAfter = time.Second
-	// maxParts bounds the parts remembered for one replica.
-	maxParts = 1024
+	// cacheTTL is how long a part counts as cached after its last use by this node: at typical
+	// load a replica's cache turns over in about twice this time.
+	cacheTTL = 12 * time.Second
+	// assumedPrefillTime is when a part counts as prefilled if this node did not see the answer
+	// start. It is longer than most prompts wait: copying a part before it is prefilled yields
+	// nothing, and the part is prefilled twice.
+	assumedPrefillTime = time.Second
+	// maxCachedParts bounds the parts tracked per replica.
+	maxCachedParts = 1024
 )
 
-// cache remembers which prompt parts a replica was given last. It is a hint:
-// the replica may have dropped them.
+// cache tracks which prompt parts were recently sent to a replica. It is a hint: the replica
+// may have evicted them.
 type cache struct {
 	parts map[uint64]cachedPart
 }
 
-// cachedPart is one part that a replica was given.
 type cachedPart struct {
 	usedAt time.Time
-	// readAt is when the replica has read the part, as far as is known.
-	readAt time.Time
+	// prefilledAt is when the part is prefilled, observed or assumed.
+	prefilledAt time.Time
 }
 
-// add notes that the replica was given the parts.
+// add records that the parts were sent to the replica.
 func (c *cache) add(now time.Time, parts []PromptPart) {
 	for _, p := range parts {
-		c.note(now, p.ID)
+		c.touch(now, p.ID)
 	}
-	c.bound(now)
+	c.evict(now)
 }
 
-// note notes the use of one part.
-func (c *cache) note(now time.Time, id uint64) {
+// touch records the use of one part.
+func (c *cache) touch(now time.Time, id uint64) {
 	if c.parts == nil {
 		c.parts = make(map[uint64]cachedPart)
 	}
 	part, known := c.parts[id]
-	if !known || now.Sub(part.usedAt) > cachedFor {
-		part.readAt = now.Add(readAfter)
+	if !known || now.Sub(part.usedAt) > cacheTTL {
+		part.prefilledAt = now.Add(assumedPrefillTime)
 	}
 	part.usedAt = now
 	c.parts[id] = part
 }
 
-// read notes that the replica has read the parts.
-func (c *cache) read(now time.Time, parts []PromptPart) {
+// markPrefilled records that the replica has prefilled the parts.
+func (c *cache) markPrefilled(now time.Time, parts []PromptPart) {
 	for _, p := range parts {
-		if part, known := c.parts[p.ID]; known && part.readAt.After(now) {
-			part.readAt = now
+		if part, known := c.parts[p.ID]; known && part.prefilledAt.After(now) {
+			part.prefilledAt = now
 			c.parts[p.ID] = part
 		}
 	}
 }
 
-// usedSince says how long ago the part was used; a part that is not known counts
-// as never used.
-func (c *cache) usedSince(now time.Time, id uint64) time.Duration {
+// sinceUsed returns the time since the last use of the part; very long for an unknown part.
+func (c *cache) sinceUsed(now time.Time, id uint64) time.Duration {
 	return now.Sub(c.parts[id].usedAt)
 }
 
-// bound forgets old parts where there are too many.
-func (c *cache) bound(now time.Time) {
-	if len(c.parts) <= maxParts {
+// evict drops old parts, or all, when there are more than maxCachedParts.
+func (c *cache) evict(now time.Time) {
+	if len(c.parts) <= maxCachedParts {
 		return
 	}
 	for id, part := range c.parts {
-		if now.Sub(part.usedAt) > cachedFor/2 {
+		if now.Sub(part.usedAt) > cacheTTL/2 {
 			delete(c.parts, id)
 		}
 	}
-	if len(c.parts) > maxParts {
+	if len(c.parts) > maxCachedParts {
 		clear(c.parts)
 	}
 }
 
-// deepest is the index of the last of the parts that the replica was given and has
-// not dropped, or -1. Prompts are cached from their start, so that a part stands
-// for all before it.
+// deepest returns the index of the last part that counts as cached, or -1. Replicas cache
+// prefixes, so it implies all parts before it.
 func (c *cache) deepest(now time.Time, parts []PromptPart) int {
 	for i := len(parts) - 1; i >= 0; i-- {
-		if part, known := c.parts[parts[i].ID]; known && now.Sub(part.usedAt) <= cachedFor {
+		if part, known := c.parts[parts[i].ID]; known && now.Sub(part.usedAt) <= cacheTTL {
 			return i
 		}
 	}
 	return -1
 }
 
-// tokens is the length of the leading parts that the replica was given.
-func (c *cache) tokens(now time.Time, parts []PromptPart) int {
+// cachedTokens returns the length of the leading parts that count as cached.
+func (c *cache) cachedTokens(now time.Time, parts []PromptPart) int {
 	return length(parts[:c.deepest(now, parts)+1])
 }
 
-// hasRead says whether the replica has read the deepest of the parts that it was
-// given.
-func (c *cache) hasRead(now time.Time, parts []PromptPart) bool {
+// prefilled reports whether the deepest cached part is prefilled.
+func (c *cache) prefilled(now time.Time, parts []PromptPart) bool {
 	i := c.deepest(now, parts)
-	return i >= 0 && !c.parts[parts[i].ID].readAt.After(now)
+	return i >= 0 && !c.parts[parts[i].ID].prefilledAt.After(now)
 }
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,10 +1,9 @@
-// Package placement chooses the replica for each request by the lowest
-// expected cost: the prompt's prefill behind what is already being read there,
-// the load, what is known of failures and silence, and the parts of the prompt
-// that the replica's cache holds.
+// Package placement chooses a replica for each request by lowest expected cost: the time to
+// prefill the prompt behind the prefills already queued there, load, recent failures and
+// unresponsiveness, and the parts of the prompt that the replica has cached.
 //
-// The decisions are pure: they take the time and a random source. They hold
-// soft state, one entry for each known replica, under a lock for each upstream.
-// Losing it costs some prefill and a slower notice of failures. A platform
-// outage does not touch it.
+// Decisions depend only on their inputs, the time and a random source. The state is soft, one
+// entry per known replica, guarded by a lock per upstream. Losing it costs some repeated
+// prefill and slower detection of failures. The package does not use the platform and is
+// unaffected by its outages.
 package placement
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// maxLoads bounds the replicas that one node tells of.
+	// maxLoads bounds the replicas in one node's load report.
 	maxLoads = 128
-	// maxFleetLoads bounds the replicas of a sum.
+	// maxFleetLoads bounds the replicas in a sum of several nodes' loads.
 	maxFleetLoads = 512
 )
 
-// Load is one node's use of one replica.
+// Load is one node's load on one replica, or the sum of several nodes'.
 type Load struct {
 	Replica string
 	Running int
-	// RunningShort is the number of running requests of light classes.
+	// RunningShort is the number of running requests of classes with short prompts.
 	RunningShort int
-	// PrefillBacklog is the prompt tokens that are not read yet.
+	// PrefillBacklog is the prompt tokens not yet prefilled.
 	PrefillBacklog PrefillBacklog
-	// TokensInMemory is what the running requests take of the replica's memory.
+	// TokensInMemory is the tokens that the running requests take of the replica's memory.
 	TokensInMemory int
 	// FailureScore is the node's failure score of the replica.
 	FailureScore float64
 }
 
-// Loads is this node's use of the replicas, the most used first.
+// Loads returns this node's load on the replicas, most used first.
 func (p *Placer) Loads(now time.Time) []Load {
 	var loads []Load
 	for _, u := range p.all() {
@@ -37,7 +37,7 @@
 	return mostUsed(loads, maxLoads)
 }
 
-// mostUsed cuts the list to the most used replicas.
+// mostUsed sorts the loads by running requests and truncates the list.
 func mostUsed(loads []Load, most int) []Load {
 	slices.SortFunc(loads, func(a, b Load) int {
 		if a.Running != b.Running {
@@ -62,20 +62,20 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, s := range u.all {
-		failures := s.failuresAt(now)
-		if silence := s.silence(now); silence > silenceFrom {
+		failures := s.failureScoreAt(now)
+		if silence := s.unresponsiveFor(now); silence > unresponsiveAfter {
 			failures += silence.Seconds()
 		}
 		if s.running == 0 && failures < negligibleFailures {
 			continue
 		}
-		loads = append(loads, Load{Replica: s.replica.ID, Running: s.running, RunningShort: s.light, PrefillBacklog: s.reading, TokensInMemory: s.tokens, FailureScore: failures})
+		loads = append(loads, Load{Replica: s.replica.ID, Running: s.running, RunningShort: s.runningShort, PrefillBacklog: s.prefillBacklog, TokensInMemory: s.tokensInMemory, FailureScore: failures})
 	}
 	return loads
 }
 
-// SumLoads adds the loads to the sums by replica, nil for none yet, and returns them. The
-// highest failure score counts.
+// SumLoads adds the loads to sums, which is keyed by replica, and returns it; a nil map is
+// allocated. Of the failure scores it keeps the highest.
 func SumLoads(sums map[string]Load, loads []Load) map[string]Load {
 	if sums == nil {
 		sums = make(map[string]Load, len(loads))
@@ -93,7 +93,7 @@
 	return sums
 }
 
-// minus takes one node's part out of a sum.
+// minus subtracts one node's load from a sum.
 func (l Load) minus(part Load) Load {
 	l.Running = max(l.Running-part.Running, 0)
 	l.RunningShort = max(l.RunningShort-part.RunningShort, 0)
@@ -102,8 +102,8 @@
 	return l
 }
 
-// listed is the sums as a list, bounded as one node's.
-func listed(sums map[string]Load) []Load {
+// sumsToList returns the sums as a list of at most maxFleetLoads, most used first.
+func sumsToList(sums map[string]Load) []Load {
 	list := make([]Load, 0, len(sums))
 	for _, l := range sums {
 		list = append(list, l)
@@ -111,7 +111,7 @@
 	return mostUsed(list, maxFleetLoads)
 }
 
-// scale multiplies what is counted.
+// scale multiplies the counts of all sums.
 func scale(sums map[string]Load, by float64) {
 	for replica, sum := range sums {
 		sum.Running = int(math.Round(by * float64(sum.Running)))
--- a/internal/placement/peers.go
+++ b/internal/placement/peers.go
@@ -2,54 +2,53 @@
 
 import "time"
 
-// peerLoadFor is how long what another node told of its load counts.
-const peerLoadFor = time.Second
+// peerLoadTTL is how long a load report from another node stays valid.
+const peerLoadTTL = time.Second
 
-// peerLoads is what another node told last.
+// peerLoads is the last load report of another node.
 type peerLoads struct {
 	loads []Load
-	// counted loads are part of this node's GroupLoads.
-	counted bool
-	at      time.Time
+	// inGroup loads are included in this node's GroupLoads.
+	inGroup    bool
+	receivedAt time.Time
 }
 
-// recent says whether the loads still count.
-func (l *peerLoads) recent(now time.Time) bool { return now.Sub(l.at) <= peerLoadFor }
+// recent reports whether the loads are still valid.
+func (l *peerLoads) recent(now time.Time) bool { return now.Sub(l.receivedAt) <= peerLoadTTL }
 
-// SetPeerLoads takes in what another node tells of its load, counted if this node adds
-// up for it; alive is the number of other nodes that serve.
-func (p *Placer) SetPeerLoads(node string, loads []Load, counted bool, alive int, now time.Time) {
+// SetPeerLoads records another node's load report; inGroup if this node aggregates that node's
+// loads. alive is the number of other nodes that serve.
+func (p *Placer) SetPeerLoads(node string, loads []Load, inGroup bool, alive int, now time.Time) {
 	p.mu.Lock()
-	p.peers[node] = peerLoads{loads: loads, counted: counted, at: now}
-	forgetOld(p.peers, now)
-	fleetKnown := p.fleetKnown(now)
+	p.peers[node] = peerLoads{loads: loads, inGroup: inGroup, receivedAt: now}
+	dropExpired(p.peers, now)
+	hasFleetLoads := p.hasFleetLoads(now)
 	p.mu.Unlock()
-	if !fleetKnown {
-		p.apply(alive, now)
+	if !hasFleetLoads {
+		p.applyPeerLoads(alive, now)
 	}
 }
 
-// HasFleetLoads says whether one that adds up the loads of all nodes told the sum
-// lately. It counts then, and what single nodes tell does not.
+// HasFleetLoads reports whether a recent sum of all nodes' loads was received. While there is
+// one, it is used instead of the reports of single nodes.
 func (p *Placer) HasFleetLoads(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fleetKnown(now)
+	return p.hasFleetLoads(now)
 }
 
-// fleetKnown is FleetKnown with the lock held.
-func (p *Placer) fleetKnown(now time.Time) bool { return now.Sub(p.fleetAt) <= peerLoadFor }
+// hasFleetLoads is HasFleetLoads with the lock held.
+func (p *Placer) hasFleetLoads(now time.Time) bool { return now.Sub(p.fleetLoadsAt) <= peerLoadTTL }
 
-// SetGroupLoads takes in what the nodes use together for which another one adds up.
+// SetGroupLoads records the summed loads of the nodes that another hub aggregates.
 func (p *Placer) SetGroupLoads(hub string, loads []Load, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.groups[hub] = peerLoads{loads: loads, at: now}
-	forgetOld(p.groups, now)
+	p.groups[hub] = peerLoads{loads: loads, receivedAt: now}
+	dropExpired(p.groups, now)
 }
 
-// SetFleetLoads takes in what all nodes use together, of which own is this node's
-// part.
+// SetFleetLoads records the summed loads of all nodes. own is this node's part of them.
 func (p *Placer) SetFleetLoads(loads, own []Load, now time.Time) {
 	others := SumLoads(nil, loads)
 	for _, l := range own {
@@ -58,78 +57,78 @@
 		}
 	}
 	p.mu.Lock()
-	p.fleet, p.fleetAt = others, now
+	p.fleetLoads, p.fleetLoadsAt = others, now
 	p.mu.Unlock()
-	p.apply(0, now)
+	p.applyPeerLoads(0, now)
 }
 
-// GroupLoads is what this node and those for which it adds up use together.
+// GroupLoads returns the summed loads of this node and the nodes that it aggregates.
 func (p *Placer) GroupLoads(now time.Time) []Load {
-	return listed(p.groupSum(now))
+	return sumsToList(p.groupSum(now))
 }
 
-// FleetLoads is what all nodes use together, as far as this node was told.
+// FleetLoads returns the summed loads of this node's group and of the other groups with a
+// recent report.
 func (p *Placer) FleetLoads(now time.Time) []Load {
 	sums := p.groupSum(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, told := range p.groups {
-		if told.recent(now) {
-			sums = SumLoads(sums, told.loads)
+	for _, report := range p.groups {
+		if report.recent(now) {
+			sums = SumLoads(sums, report.loads)
 		}
 	}
-	return listed(sums)
+	return sumsToList(sums)
 }
 
 func (p *Placer) groupSum(now time.Time) map[string]Load {
 	sums := SumLoads(nil, p.Loads(now))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, told := range p.peers {
-		if told.counted && told.recent(now) {
-			sums = SumLoads(sums, told.loads)
+	for _, report := range p.peers {
+		if report.inGroup && report.recent(now) {
+			sums = SumLoads(sums, report.loads)
 		}
 	}
 	return sums
 }
 
-// forgetOld drops what was told too long ago.
-func forgetOld(told map[string]peerLoads, now time.Time) {
-	for name, loads := range told {
+// dropExpired deletes reports older than peerLoadTTL.
+func dropExpired(reports map[string]peerLoads, now time.Time) {
+	for name, loads := range reports {
 		if !loads.recent(now) {
-			delete(told, name)
+			delete(reports, name)
 		}
 	}
 }
 
-// apply has the upstreams count what the other nodes use.
-func (p *Placer) apply(alive int, now time.Time) {
-	sums := p.others(alive, now)
+// applyPeerLoads updates the other nodes' loads in all upstreams.
+func (p *Placer) applyPeerLoads(alive int, now time.Time) {
+	sums := p.peerSums(alive, now)
 	for _, u := range p.all() {
 		u.setPeers(sums)
 	}
 }
 
-// others is what the other nodes use: as one that adds it up for this zone has
-// told, or else the sum of those that have told it themselves. Callers spread
-// over all nodes alike, so that where only some were heard of, as in a large
-// fleet, their sum stands for all of them.
-func (p *Placer) others(alive int, now time.Time) map[string]Load {
+// peerSums returns the other nodes' summed loads: the fleet sum if there is a recent one,
+// otherwise the sum of the recent reports. Callers spread evenly over the nodes, so if only
+// some of the alive nodes have reported, the sum is scaled up.
+func (p *Placer) peerSums(alive int, now time.Time) map[string]Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.fleetKnown(now) {
-		return p.fleet
+	if p.hasFleetLoads(now) {
+		return p.fleetLoads
 	}
 	var sums map[string]Load
-	heard := 0
-	for _, told := range p.peers {
-		if told.recent(now) {
-			sums = SumLoads(sums, told.loads)
-			heard++
+	reporting := 0
+	for _, report := range p.peers {
+		if report.recent(now) {
+			sums = SumLoads(sums, report.loads)
+			reporting++
 		}
 	}
-	if heard > 0 && heard < alive {
-		scale(sums, float64(alive)/float64(heard))
+	if reporting > 0 && reporting < alive {
+		scale(sums, float64(alive)/float64(reporting))
 	}
 	return sums
 }
@@ -139,22 +138,22 @@
 	defer u.mu.Unlock()
 	for _, s := range u.all {
 		sum := sums[s.replica.ID]
-		s.peersRunning, s.peersLight = sum.Running, sum.RunningShort
-		s.peersReading, s.peersTokens, s.peersFailures = sum.PrefillBacklog, sum.TokensInMemory, sum.FailureScore
+		s.peersRunning, s.peersRunningShort = sum.Running, sum.RunningShort
+		s.peersPrefillBacklog, s.peersTokensInMemory, s.peersFailureScore = sum.PrefillBacklog, sum.TokensInMemory, sum.FailureScore
 	}
 }
 
-// PeersRunning is the requests that other nodes run on each replica, as this node
-// believes, for pages that show its view.
+// PeersRunning returns the number of requests that other nodes run on each replica, as
+// reported to this node.
 func (p *Placer) PeersRunning(now time.Time) map[string]int {
 	running := make(map[string]int)
-	for id, l := range p.others(0, now) {
+	for id, l := range p.peerSums(0, now) {
 		running[id] = l.Running
 	}
 	return running
 }
 
-// Running is the requests of the upstream that run or wait at its replicas, of all nodes.
+// Running returns the number of the upstream's requests at its replicas, from all nodes.
 func (p *Placer) Running(name string) int {
 	u := p.upstream(name)
 	u.mu.Lock()
--- a/internal/placement/placements.go
+++ b/internal/placement/placements.go
@@ -3,104 +3,102 @@
 import "time"
 
 const (
-	// placedFor is how long a placement is told to other nodes: until each of
-	// them has most likely been asked once.
-	placedFor = 1500 * time.Millisecond
-	// relayedFor is how long a placement is told on that another node told: some
-	// three rounds of calls.
-	relayedFor = 600 * time.Millisecond
-	// maxPlaced bounds the replicas whose placements one node tells.
-	maxPlaced = 128
-	// maxPlacedParts bounds the parts told of one replica.
-	maxPlacedParts = 64
+	// announceTime is how long a placement is announced to other nodes: long enough for an
+	// exchange with most of them.
+	announceTime = 1500 * time.Millisecond
+	// relayTime is how long a placement received from another node is relayed: about three rounds
+	// of exchanges.
+	relayTime = 600 * time.Millisecond
+	// maxPlacements bounds the replicas in one announcement.
+	maxPlacements = 128
+	// maxPlacementParts bounds the parts announced per replica.
+	maxPlacementParts = 64
 )
 
-// Placement tells that a replica was given prompts with these parts lately.
+// Placement announces that prompts with these parts were recently sent to a replica.
 type Placement struct {
 	Replica string
 	Parts   []uint64
 }
 
-// placements remembers for a short time which parts were sent where.
+// placements tracks which parts were recently sent to which replica.
 type placements struct {
-	noted map[string]map[uint64]notedPart
+	byReplica map[string]map[uint64]announcedPart
 }
 
-// notedPart is when a part was noted, and until when it is told.
-type notedPart struct {
-	at, till time.Time
+// announcedPart is when a part was recorded, and until when it is announced.
+type announcedPart struct {
+	recordedAt, expiresAt time.Time
 }
 
-// add notes that a prompt with these parts was sent to the replica. The deepest
-// one stands for all before it.
+// add records that a prompt with these parts was sent to the replica. The deepest part implies
+// all before it.
 func (p *placements) add(now time.Time, replica string, parts []PromptPart) {
 	if len(parts) > 0 {
-		p.note(replica, parts[len(parts)-1].ID, notedPart{at: now, till: now.Add(placedFor)})
+		p.record(replica, parts[len(parts)-1].ID, announcedPart{recordedAt: now, expiresAt: now.Add(announceTime)})
 	}
 }
 
-func (p *placements) note(replica string, part uint64, noted notedPart) {
-	if p.noted == nil {
-		p.noted = make(map[string]map[uint64]notedPart)
+func (p *placements) record(replica string, part uint64, entry announcedPart) {
+	if p.byReplica == nil {
+		p.byReplica = make(map[string]map[uint64]announcedPart)
 	}
-	placed, ok := p.noted[replica]
+	placed, ok := p.byReplica[replica]
 	if !ok {
-		placed = make(map[uint64]notedPart)
-		p.noted[replica] = placed
+		placed = make(map[uint64]announcedPart)
+		p.byReplica[replica] = placed
 	}
-	if noted.till.After(placed[part].till) {
-		placed[part] = noted
+	if entry.expiresAt.After(placed[part].expiresAt) {
+		placed[part] = entry
 	}
 }
 
-// relay notes another node's placement to be told on for relayedFor. What the
-// cache knew just before was told on already.
+// relay records another node's placement for announcement during relayTime. Parts already in
+// the cache hint within that time are skipped, as they have been relayed before.
 func (p *placements) relay(now time.Time, placed Placement, known *cache) {
 	for _, part := range placed.Parts {
-		if known.usedSince(now, part) > relayedFor {
-			p.note(placed.Replica, part, notedPart{at: now, till: now.Add(relayedFor)})
+		if known.sinceUsed(now, part) > relayTime {
+			p.record(placed.Replica, part, announcedPart{recordedAt: now, expiresAt: now.Add(relayTime)})
 		}
 	}
 }
 
-// recent appends the placements that are still told and were noted after since, and
-// forgets those that are not told any more.
+// recent appends the placements recorded after since, and deletes expired ones.
 func (p *placements) recent(now, since time.Time, list []Placement) []Placement {
-	for replica, placed := range p.noted {
-		told := Placement{Replica: replica}
-		for part, noted := range placed {
-			if now.After(noted.till) {
+	for replica, placed := range p.byReplica {
+		placement := Placement{Replica: replica}
+		for part, entry := range placed {
+			if now.After(entry.expiresAt) {
 				delete(placed, part)
-			} else if noted.at.After(since) && len(told.Parts) < maxPlacedParts {
-				told.Parts = append(told.Parts, part)
+			} else if entry.recordedAt.After(since) && len(placement.Parts) < maxPlacementParts {
+				placement.Parts = append(placement.Parts, part)
 			}
 		}
 		if len(placed) == 0 {
-			delete(p.noted, replica)
+			delete(p.byReplica, replica)
 		}
-		if len(told.Parts) > 0 && len(list) < maxPlaced {
-			list = append(list, told)
+		if len(placement.Parts) > 0 && len(list) < maxPlacements {
+			list = append(list, placement)
 		}
 	}
 	return list
 }
 
-// Placements is where this node sent prompts lately, as far as it was noted after since:
-// what a node was told before it need not hear again. Told in each exchange for as long
-// as they count, the placements of 295 nodes under a burst were most of what nodes sent
-// each other.
+// Placements returns where prompts were recently sent, as recorded after since. Callers pass
+// the time of their last exchange with a node, to send each placement to it only once:
+// resending them would dominate the traffic between nodes.
 func (p *Placer) Placements(now, since time.Time) []Placement {
 	var list []Placement
 	for _, u := range p.all() {
 		u.mu.Lock()
-		list = u.placed.recent(now, since, list)
+		list = u.recentPlacements.recent(now, since, list)
 		u.mu.Unlock()
 	}
 	return list
 }
 
-// SetPlacements takes in where another node sent prompts lately. With relay set
-// this node tells it on for a while, to those that the other one did not meet.
+// SetPlacements records another node's placements. With relay set, this node announces them
+// for a while to nodes that the other one does not contact.
 func (p *Placer) SetPlacements(list []Placement, relay bool, now time.Time) {
 	for _, u := range p.all() {
 		u.mu.Lock()
@@ -110,12 +108,12 @@
 				continue
 			}
 			if relay {
-				u.placed.relay(now, placed, &s.cache)
+				u.recentPlacements.relay(now, placed, &s.cache)
 			}
 			for _, part := range placed.Parts {
-				s.cache.note(now, part)
+				s.cache.touch(now, part)
 			}
-			s.cache.bound(now)
+			s.cache.evict(now)
 		}
 		u.mu.Unlock()
 	}
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -17,19 +17,18 @@
 	mu        sync.Mutex
 	rand      *rand.Rand
 	upstreams map[string]*upstream
-	// peers holds what other nodes told of their loads, groups what those use
-	// together for which another node adds up, by that node.
+	// peers is the last load report of each node, groups the last summed loads of each other hub's
+	// group; both by node name.
 	peers  map[string]peerLoads
 	groups map[string]peerLoads
-	// seeAll has each request placed among all replicas.
-	seeAll bool
-	// permits are those for replicas that name a rate; nil: none is kept to.
-	permits *ratelimit.Permits
-	// usedAt is when a replica was last chosen.
-	usedAt time.Time
-	// fleet is what all other nodes use together, as told at fleetAt.
-	fleet   map[string]Load
-	fleetAt time.Time
+	// considerAll disables random sampling of candidates.
+	considerAll bool
+	// permits are the rate limit permits; nil: rates are not enforced.
+	permits      *ratelimit.Permits
+	lastChoiceAt time.Time
+	// fleetLoads is the summed load of all other nodes, received at fleetLoadsAt.
+	fleetLoads   map[string]Load
+	fleetLoadsAt time.Time
 }
 
 // NewPlacer returns a placer for a node in the availability zone.
@@ -43,27 +42,27 @@
 	u, ok := p.upstreams[name]
 	if !ok {
 		u = newUpstream(p.zone, rand.New(rand.NewPCG(p.rand.Uint64(), p.rand.Uint64())))
-		u.seeAll, u.permits = p.seeAll, p.permits
+		u.considerAll, u.permits = p.considerAll, p.permits
 		p.upstreams[name] = u
 	}
 	return u
 }
 
-// ConsiderAllReplicas has requests placed among all replicas also in a large fleet, for comparisons.
-// It is called before the first Choose.
-func (p *Placer) ConsiderAllReplicas() { p.seeAll = true }
+// ConsiderAllReplicas disables random sampling of candidates in large fleets, for comparisons.
+// Call it before the first Choose.
+func (p *Placer) ConsiderAllReplicas() { p.considerAll = true }
 
-// SetPermits has replicas that name a rate left alone while there is no permit. It is called
-// before the first Choose.
+// SetPermits enforces the rates of rate limited replicas with these permits. Call it before
+// the first Choose.
 func (p *Placer) SetPermits(permits *ratelimit.Permits) { p.permits = permits }
 
-// Choose binds the request to a replica of the upstream. It returns nil where
-// no replica takes new requests, or all of them name rates and have no permit left:
-// RateLimited tells these apart. The attempt must be ended, and one that NeedsPermit must not begin
-// before it is Permitted.
+// Choose binds the request to a replica of the upstream. It returns nil if no replica accepts
+// new requests or all are rate limited with no permit left; RateLimited distinguishes these.
+// The caller must end the attempt, and if it NeedsPermit, must call PermitGranted before
+// sending the request.
 func (p *Placer) Choose(now time.Time, name string, r *Request) *Attempt {
 	u := p.upstream(name)
-	p.used(now)
+	p.recordChoice(now)
 	replicas := p.replicas.ForUpstream(name)
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -74,41 +73,41 @@
 	return u.bind(now, r, d)
 }
 
-func (p *Placer) used(now time.Time) {
+func (p *Placer) recordChoice(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.usedAt = now
+	p.lastChoiceAt = now
 }
 
-// UsedWithin says whether a replica was chosen not longer than that ago.
+// UsedWithin reports whether Choose was called within the span before now.
 func (p *Placer) UsedWithin(span time.Duration, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.usedAt) <= span
+	return now.Sub(p.lastChoiceAt) <= span
 }
 
-// bind counts the attempt at the replica that was chosen. The lock is held.
+// bind adds the attempt to the load of the chosen replica. The lock is held.
 func (u *upstream) bind(now time.Time, r *Request, d *decision) *Attempt {
 	s := d.state
 	limits := u.rateLimits(now)
-	a := &Attempt{Replica: s.replica, Choice: u.explain(now, r, d), NeedsPermit: limits.apply(s), upstream: u, state: s, startedAt: now}
+	a := &Attempt{Replica: s.replica, Choice: u.newChoice(now, r, d), NeedsPermit: limits.isLimited(s), upstream: u, state: s, startedAt: now}
 	if d.source != nil {
 		a.CopyFrom = d.source.replica.Address
 	}
 	if r.PromptTokens > 0 {
-		if a.light = !u.heavy(r); a.light {
-			s.light++
+		if a.shortPrompt = !u.hasLongPrompts(r); a.shortPrompt {
+			s.runningShort++
 		}
-		a.rank, a.reading = r.Rank, r.PromptTokens-d.cached
-		s.reading.add(a.rank, a.reading)
+		a.rank, a.pendingPrefill = r.Rank, r.PromptTokens-d.cached
+		s.prefillBacklog.add(a.rank, a.pendingPrefill)
 		a.shared = r.Shared
-		a.work = a.Choice.PrefillAhead + a.reading
-		a.tokens = r.tokens() - d.cached
-		s.tokens += a.tokens
+		a.prefillTokens = a.Choice.PrefillAhead + a.pendingPrefill
+		a.tokensInMemory = r.tokens() - d.cached
+		s.tokensInMemory += a.tokensInMemory
 	}
 	s.running++
 	if !a.NeedsPermit {
-		a.sent(now)
+		a.recordSent(now)
 	}
 	return a
 }
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -12,15 +12,15 @@
 
 var start = time.Date(2026, 3, 6, 20, 0, 0, 0, time.UTC)
 
-// fleet returns a placer before n replicas of upstream "u", in two zones.
+// fleet returns a placer for n replicas of upstream "u" in two zones.
 func fleet(n int, seed uint64) (*Placer, *replica.Set) {
 	set := replica.NewSet()
-	list(set, 1, n)
+	register(set, 1, n)
 	return NewPlacer("z0", set, rand.New(rand.NewPCG(seed, 1))), set
 }
 
-// list registers the first n replicas; those at the places draining are leaving.
-func list(set *replica.Set, revision int64, n int, draining ...int) {
+// register registers the first n replicas; those with the indexes in draining are draining.
+func register(set *replica.Set, revision int64, n int, draining ...int) {
 	l := replica.Listing{Revision: revision}
 	for i := range n {
 		l.Replicas = append(l.Replicas, replica.Replica{
@@ -31,7 +31,7 @@
 	set.Update(l, 1, 1)
 }
 
-// long is a prompt that takes several steps to read, of a session.
+// long returns a request of a session whose prompt takes several prefill steps.
 func long(session uint64) *Request {
 	return &Request{
 		Class: "long", PromptTokens: 9000, AnswerTokens: 50, MemoryTokens: 290_000,
@@ -39,17 +39,17 @@
 	}
 }
 
-// short is a prompt that is read in one step.
+// short returns a request whose prompt is prefilled in one step.
 func short() *Request {
 	return &Request{Class: "short", PromptTokens: 800, AnswerTokens: 290, MemoryTokens: 290_000}
 }
 
-func TestASessionComesBackToItsReplicaAtAnyNode(t *testing.T) {
+func TestSessionReturnsToItsReplicaFromAnyNode(t *testing.T) {
 	one, _ := fleet(12, 1)
 	two, _ := fleet(12, 2)
 	home := make(map[uint64]string)
 	for i := range uint64(40) {
-		// Sessions with no part in common.
+		// Sessions without a part in common.
 		session := 50 * (i + 2)
 		now := start.Add(time.Duration(session) * time.Second)
 		a := one.Choose(now, "u", long(session))
@@ -60,7 +60,7 @@
 		for _, p := range []*Placer{one, two} {
 			b := p.Choose(now.Add(time.Second), "u", long(session))
 			if b.Replica.ID != home[session] {
-				t.Errorf("session %d went to %s and then to %s", session, home[session], b.Replica.ID)
+				t.Errorf("session %d was placed on %s and then on %s", session, home[session], b.Replica.ID)
 			}
 			b.End(now, Cancelled)
 		}
@@ -70,18 +70,18 @@
 		used[id] = true
 	}
 	if len(used) < 4 {
-		t.Errorf("40 sessions share %d replicas", len(used))
+		t.Errorf("40 sessions use only %d replicas, want at least 4", len(used))
 	}
 }
 
-// Where only its replica has much to read, a session leaves it; where all have,
-// its parts are not read once more.
-func TestASessionLeavesItsReplicaOnlyForOneThatIsIdle(t *testing.T) {
-	const muchToRead, someToRead = 110_000, 20_000
+// A session leaves its replica when only that one is busy, but does not cause repeated prefill
+// when all replicas are.
+func TestSessionMovesOnlyToIdleReplica(t *testing.T) {
+	const largeBacklog, smallBacklog = 110_000, 20_000
 	for name, test := range map[string]struct {
 		elsewhere int
 		stays     bool
-	}{"the others are idle": {0, false}, "the others have prompts waiting": {someToRead, true}} {
+	}{"other replicas idle": {0, false}, "other replicas busy": {smallBacklog, true}} {
 		t.Run(name, func(t *testing.T) {
 			p, set := fleet(12, 1)
 			first := p.Choose(start, "u", long(100))
@@ -91,20 +91,20 @@
 			for _, r := range set.ForUpstream("u") {
 				load := Load{Replica: r.ID, Running: 4, PrefillBacklog: PrefillBacklog{test.elsewhere}}
 				if r.ID == first.Replica.ID {
-					load.PrefillBacklog = PrefillBacklog{muchToRead}
+					load.PrefillBacklog = PrefillBacklog{largeBacklog}
 				}
 				loads = append(loads, load)
 			}
 			p.SetPeerLoads("other", loads, false, 1, start)
 			again := p.Choose(start, "u", long(100))
 			if stayed := again.Replica.ID == first.Replica.ID; stayed != test.stays {
-				t.Errorf("the session stayed at its replica: %v", stayed)
+				t.Errorf("session stayed at its replica: %v, want the opposite", stayed)
 			}
 		})
 	}
 }
 
-func TestLongAndShortPromptsGoToDifferentReplicas(t *testing.T) {
+func TestLongAndShortPromptsUseSeparateReplicas(t *testing.T) {
 	p, _ := fleet(12, 1)
 	var running []*Attempt
 	sides := map[string]map[string]int{"long": {}, "short": {}}
@@ -130,14 +130,14 @@
 		mixed += min(n, sides["short"][id])
 	}
 	if mixed > 20 {
-		t.Errorf("%d of 450 requests shared a replica with the other kind: %v", mixed, sides)
+		t.Errorf("%d of 450 requests shared a replica with the other side, want at most 20: %v", mixed, sides)
 	}
 	if len(sides["short"]) < 3 || len(sides["long"]) < 3 {
-		t.Errorf("sides of %d and %d replicas", len(sides["short"]), len(sides["long"]))
+		t.Errorf("short side uses %d replicas, long side %d; want at least 3 each", len(sides["short"]), len(sides["long"]))
 	}
 }
 
-func TestAFailingReplicaIsAvoidedAndTriedAgain(t *testing.T) {
+func TestFailingReplicaIsAvoidedThenRetried(t *testing.T) {
 	for _, result := range []Result{Interrupted, TimedOut, Unreachable, Errored, Full, Replaced} {
 		p, _ := fleet(3, 1)
 		first := p.Choose(start, "u", &Request{})
@@ -145,7 +145,7 @@
 		for range 20 {
 			a := p.Choose(start, "u", &Request{})
 			if a.Replica.ID == first.Replica.ID {
-				t.Errorf("result %d: the next request went to the same replica", result)
+				t.Errorf("result %d: the next request was placed on the failed replica", result)
 			}
 			a.End(start, Answered)
 		}
@@ -157,25 +157,25 @@
 			a.End(later, Cancelled)
 		}
 		if !back {
-			t.Errorf("result %d: the replica is never tried again", result)
+			t.Errorf("result %d: the replica was not retried after a minute", result)
 		}
 	}
 }
 
-func TestAReplicaThatWentSilentUnderLoadIsAvoided(t *testing.T) {
+func TestUnresponsiveReplicaIsAvoided(t *testing.T) {
 	p, _ := fleet(2, 1)
 	stuck := p.Choose(start, "u", short())
 	now := start.Add(2 * time.Second)
 	for range 10 {
 		a := p.Choose(now, "u", short())
 		if a.Replica.ID == stuck.Replica.ID {
-			t.Fatal("a request went to the replica that has been silent for two seconds")
+			t.Fatal("a request was placed on a replica that has sent no data for two seconds")
 		}
 		a.AnswerStarted(now)
 	}
 }
 
-func TestAnotherNodesFailuresAndLoadCount(t *testing.T) {
+func TestPeerFailuresAndLoadsAffectChoice(t *testing.T) {
 	p, set := fleet(3, 1)
 	p.Choose(start, "u", &Request{}).End(start, Cancelled)
 	ids := []string{set.ForUpstream("u")[0].ID, set.ForUpstream("u")[1].ID}
@@ -183,11 +183,11 @@
 	for range 10 {
 		a := p.Choose(start, "u", &Request{})
 		if slices.Contains(ids, a.Replica.ID) {
-			t.Errorf("a request went to %s", a.Replica.ID)
+			t.Errorf("request placed on %s, which a peer reported as failing or busy", a.Replica.ID)
 		}
 		a.End(start, Cancelled)
 	}
-	// News that are not renewed are forgotten with the next news of another node.
+	// Expired reports are dropped on the next report from any node.
 	p.SetPeerLoads("third", nil, false, 1, start.Add(2*time.Second))
 	used := make(map[string]bool)
 	for range 40 {
@@ -196,11 +196,11 @@
 		a.End(start, Cancelled)
 	}
 	if len(used) < 2 {
-		t.Errorf("only %v used after the news had grown old", used)
+		t.Errorf("only %v used after the peer report expired", used)
 	}
 }
 
-func TestAFurtherAttemptGoesElsewhereAndFirstToAnotherZone(t *testing.T) {
+func TestRetryPrefersAnotherReplicaInAnotherZone(t *testing.T) {
 	p, set := fleet(6, 1)
 	byID := make(map[string]replica.Replica)
 	for _, r := range set.ForUpstream("u") {
@@ -213,28 +213,28 @@
 	for range 20 {
 		b := p.Choose(start, "u", request)
 		if b.Replica.ID == a.Replica.ID || b.Replica.AvailabilityZone == a.Replica.AvailabilityZone {
-			t.Errorf("the second attempt went to %s in %s", b.Replica.ID, b.Replica.AvailabilityZone)
+			t.Errorf("the second attempt was placed on %s in zone %s", b.Replica.ID, b.Replica.AvailabilityZone)
 		}
 		b.End(start, Cancelled)
 	}
 }
 
-func TestDrainingReplicasGetNothing(t *testing.T) {
+func TestDrainingReplicasReceiveNoRequests(t *testing.T) {
 	p, set := fleet(4, 1)
-	list(set, 2, 4, 0, 1, 2)
+	register(set, 2, 4, 0, 1, 2)
 	for range 20 {
 		if a := p.Choose(start, "u", short()); a.Replica.ID != "i-03" {
-			t.Fatalf("a request went to %s", a.Replica.ID)
+			t.Fatalf("request placed on %s, want i-03", a.Replica.ID)
 		}
 	}
-	list(set, 3, 4, 0, 1, 2, 3)
+	register(set, 3, 4, 0, 1, 2, 3)
 	if a := p.Choose(start, "u", short()); a != nil {
-		t.Errorf("a request went to %s, though all are leaving", a.Replica.ID)
+		t.Errorf("request placed on %s although all replicas are draining", a.Replica.ID)
 	}
 }
 
-// Shared parts are in a replica's memory once, however many requests use them.
-func TestAReplicasMemoryIsNotFilled(t *testing.T) {
+// Shared parts take a replica's memory once, however many requests use them.
+func TestReplicaMemoryIsNotOvercommitted(t *testing.T) {
 	for name, session := range map[string]func(i int) uint64{
 		"requests of one session":        func(int) uint64 { return 350 },
 		"requests of different sessions": func(i int) uint64 { return uint64(50 * (i + 2)) },
@@ -260,37 +260,37 @@
 			}
 			for id, tokens := range taken {
 				if tokens > 290_000 {
-					t.Errorf("%s holds %d tokens of 290,000 while others are free: %v", id, tokens, taken)
+					t.Errorf("%s has %d tokens in memory, want at most 290,000: %v", id, tokens, taken)
 				}
 			}
 		})
 	}
 }
 
-func TestWhatIsToldIsBounded(t *testing.T) {
+func TestReportsToPeersAreBounded(t *testing.T) {
 	p, set := fleet(0, 1)
-	list(set, 2, 400)
+	register(set, 2, 400)
 	for i := range 4000 {
 		p.Choose(start, "u", long(uint64(1000+i)))
 	}
 	if n := len(p.Loads(start)); n > maxLoads {
-		t.Errorf("%d loads", n)
+		t.Errorf("%d loads, want at most maxLoads", n)
 	}
 	placements := p.Placements(start, time.Time{})
-	if len(placements) > maxPlaced {
-		t.Errorf("%d placements", len(placements))
+	if len(placements) > maxPlacements {
+		t.Errorf("%d placements, want at most maxPlacements", len(placements))
 	}
 	for _, placed := range placements {
-		if len(placed.Parts) > maxPlacedParts {
-			t.Errorf("%d parts of %s", len(placed.Parts), placed.Replica)
+		if len(placed.Parts) > maxPlacementParts {
+			t.Errorf("%d parts of %s, want at most maxPlacementParts", len(placed.Parts), placed.Replica)
 		}
 	}
 	if left := p.Placements(start.Add(time.Minute), time.Time{}); len(left) > 0 {
-		t.Errorf("%d placements are told after a minute", len(left))
+		t.Errorf("%d placements announced after a minute, want none", len(left))
 	}
 }
 
-func TestTheLoadOfSomeNodesStandsForAll(t *testing.T) {
+func TestLoadsOfSomeNodesAreScaledToAll(t *testing.T) {
 	p, set := fleet(1, 1)
 	p.Choose(start, "u", &Request{}).End(start, Cancelled)
 	id := set.ForUpstream("u")[0].ID
@@ -298,19 +298,19 @@
 		p.SetPeerLoads(fmt.Sprint(i), []Load{{Replica: id, Running: 3, PrefillBacklog: PrefillBacklog{60, 0, 40}}}, false, 12, start)
 	}
 	s := p.upstream("u").states[id]
-	if s.peersRunning != 36 || s.peersReading != (PrefillBacklog{720, 0, 480}) {
-		t.Errorf("4 of 12 nodes with 3 running requests count as %d, and %v tokens", s.peersRunning, s.peersReading)
+	if s.peersRunning != 36 || s.peersPrefillBacklog != (PrefillBacklog{720, 0, 480}) {
+		t.Errorf("4 of 12 nodes with 3 running requests each: scaled to %d running and backlog %v", s.peersRunning, s.peersPrefillBacklog)
 	}
 }
 
-func TestAReplicaThatStartedAgainUnderItsIdentityHoldsNothing(t *testing.T) {
+func TestRestartedReplicaHasEmptyState(t *testing.T) {
 	p, set := fleet(6, 1)
 	first := p.Choose(start, "u", long(100))
 	first.AnswerStarted(start)
 	first.End(start, Unreachable)
 	u := p.upstream("u")
-	if u.states[first.Replica.ID].cache.tokens(start, long(100).Shared) == 0 {
-		t.Fatal("the replica was given the prompt, and counts as without it")
+	if u.states[first.Replica.ID].cache.cachedTokens(start, long(100).Shared) == 0 {
+		t.Fatal("no cached tokens for a prompt that was sent to the replica")
 	}
 	l := replica.Listing{Revision: 2}
 	for _, r := range set.ForUpstream("u") {
@@ -322,7 +322,7 @@
 	set.Update(l, 2, 2)
 	p.Choose(start, "u", short()).End(start, Cancelled)
 	s := u.states[first.Replica.ID]
-	if tokens := s.cache.tokens(start, long(100).Shared); tokens > 0 || s.failuresAt(start) > 0 {
-		t.Errorf("it counts as holding %d tokens, with a failure score of %.1f", tokens, s.failuresAt(start))
+	if tokens := s.cache.cachedTokens(start, long(100).Shared); tokens > 0 || s.failureScoreAt(start) > 0 {
+		t.Errorf("restarted replica has %d cached tokens and failure score %.1f, want none", tokens, s.failureScoreAt(start))
 	}
 }
--- a/internal/placement/prefix.go
+++ b/internal/placement/prefix.go
@@ -7,81 +7,80 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// prefix is what is known of where the shared parts of one prompt are.
-type prefix struct {
-	// home is the replica to which the parts lead where no other is known, and second
-	// the one that follows it in the order.
-	home   *state
-	second *state
-	// copies says that a replica can copy parts from another one.
-	copies bool
-	// holder is the replica that has read most of them, heldTokens how much; nil:
-	// none is known.
-	holder     *state
-	heldTokens int
+// prefixLocation is where the shared parts of one prompt are likely cached.
+type prefixLocation struct {
+	// primary and secondary are the first two replicas of the parts by rendezvous hashing.
+	primary   *replicaState
+	secondary *replicaState
+	// canCopy says that replicas can copy cached parts from each other.
+	canCopy bool
+	// best is the replica with the most tokens of them prefilled, bestTokens how many; nil: none
+	// known.
+	best       *replicaState
+	bestTokens int
 }
 
-// doubtfulFrom is the failure score from which a replica is not copied from: one lost
-// connection, after which its cache is most likely gone, too.
-const doubtfulFrom = 1.0
+// maxCopyFailureScore is the failure score from which parts are not copied from a replica: one
+// lost connection, after which its cache is probably lost, too.
+const maxCopyFailureScore = 1.0
 
-// findPrefix looks for the replicas that hold the prompt's shared parts, and for
-// their home among those of the side.
-func findPrefix(now time.Time, r *Request, open, side []*state) prefix {
+// locatePrefix finds the replicas that have the prompt's shared parts prefilled, and the
+// primary and secondary replica among side.
+func locatePrefix(now time.Time, r *Request, open, side []*replicaState) prefixLocation {
 	if len(r.Shared) == 0 {
-		return prefix{}
+		return prefixLocation{}
 	}
-	p := prefix{copies: r.CanCopyCache}
-	p.home, p.second = homesOf(r, side)
+	p := prefixLocation{canCopy: r.CanCopyCache}
+	p.primary, p.secondary = rendezvousReplicas(r, side)
 	if !r.CanCopyCache {
 		return p
 	}
 	for _, s := range open {
-		tokens := s.cache.tokens(now, r.Shared)
-		if tokens > p.heldTokens && s.cache.hasRead(now, r.Shared) && s.failuresAt(now) < doubtfulFrom {
-			p.holder, p.heldTokens = s, tokens
+		tokens := s.cache.cachedTokens(now, r.Shared)
+		if tokens > p.bestTokens && s.cache.prefilled(now, r.Shared) && s.failureScoreAt(now) < maxCopyFailureScore {
+			p.best, p.bestTokens = s, tokens
 		}
 	}
 	return p
 }
 
-// cachedAt is the tokens that the replica is expected to have in its cache.
-func (p *prefix) cachedAt(now time.Time, r *Request, s *state) int {
-	cached := s.cache.tokens(now, r.Shared)
-	if s == p.home {
-		cached = max(cached, int(homeShare*float64(r.sharedTokens())))
+// cachedAt returns the number of tokens expected in the replica's cache.
+func (p *prefixLocation) cachedAt(now time.Time, r *Request, s *replicaState) int {
+	cached := s.cache.cachedTokens(now, r.Shared)
+	if s == p.primary {
+		cached = max(cached, int(primaryCachedShare*float64(r.sharedTokens())))
 	}
 	return cached
 }
 
-// copied is the tokens that the replica can copy from the holder beyond those that
-// it has.
-func (p *prefix) copied(s *state, cached int) int {
-	if s == p.holder {
+// copyableTokens returns the number of tokens that the replica can copy from best, beyond the
+// cached ones.
+func (p *prefixLocation) copyableTokens(s *replicaState, cached int) int {
+	if s == p.best {
 		return 0
 	}
-	return max(p.heldTokens-cached, 0)
+	return max(p.bestTokens-cached, 0)
 }
 
-// source is the replica from which another one copies shared parts, or nil. Where
-// no holder is known, as after the nodes' restart, one of the homes may have them:
-// asking it costs next to nothing.
-func (p *prefix) source(s *state, cached int) *state {
+// source returns the replica to copy shared parts from, or nil. If no replica is known to have
+// them, as after a restart of the nodes, it returns the primary or secondary one: a failed
+// copy costs next to nothing.
+func (p *prefixLocation) source(s *replicaState, cached int) *replicaState {
 	switch {
-	case p.copied(s, cached) > 0:
-		return p.holder
-	case !p.copies || p.holder != nil || cached > 0:
+	case p.copyableTokens(s, cached) > 0:
+		return p.best
+	case !p.canCopy || p.best != nil || cached > 0:
 		return nil
-	case s == p.home:
-		return p.second
+	case s == p.primary:
+		return p.secondary
 	default:
-		return p.home
+		return p.primary
 	}
 }
 
-// homeRank is a replica's place in the order for a prompt part: all nodes work out the
-// same order, and a lost replica moves only its own prompts.
-func homeRank(part uint64, replica string) uint64 {
+// rendezvousHash returns the weight of a replica for a prompt part. All nodes compute the same
+// order, and removing a replica moves only its own prompts.
+func rendezvousHash(part uint64, replica string) uint64 {
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], part)
 	d := xxhash.New()
@@ -90,13 +89,13 @@
 	return d.Sum64()
 }
 
-// homesOf are the first two replicas to which the prompt's deepest shared part leads.
-func homesOf(r *Request, states []*state) (*state, *state) {
+// rendezvousReplicas returns the first two replicas for the prompt's deepest shared part.
+func rendezvousReplicas(r *Request, states []*replicaState) (*replicaState, *replicaState) {
 	part := r.Shared[len(r.Shared)-1].ID
 	var best, next uint64
-	var first, second *state
+	var first, second *replicaState
 	for _, s := range states {
-		rank := homeRank(part, s.replica.ID)
+		rank := rendezvousHash(part, s.replica.ID)
 		switch {
 		case first == nil || rank > best:
 			next, second = best, first
--- a/internal/placement/prefix_test.go
+++ b/internal/placement/prefix_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// copying is a long prompt for an engine whose replicas copy from each other.
-func copying(session uint64) *Request {
+// copyableRequest returns a long prompt for an engine whose replicas copy cached parts from
+// each other.
+func copyableRequest(session uint64) *Request {
 	r := long(session)
 	r.CanCopyCache = true
 	return r
 }
 
-// loaded has all replicas but one busy reading.
-func loaded(p *Placer, except string, tokens int) {
+// setPeerBacklog reports a prefill backlog on all replicas but one.
+func setPeerBacklog(p *Placer, except string, tokens int) {
 	var loads []Load
 	for _, s := range p.upstream("u").all {
 		load := Load{Replica: s.replica.ID, Running: 4}
@@ -25,49 +26,49 @@
 	p.SetPeerLoads("other", loads, false, 1, start)
 }
 
-// A session whose replica has much to read goes to an idle one, which copies what was
-// read: but not before it was read, which would bring nothing.
-func TestPartsAreCopiedFromTheReplicaThatHasReadThem(t *testing.T) {
-	const muchToRead = 110_000
+// A session whose replica is busy moves to an idle one, which copies the cached parts, but
+// only after they are prefilled.
+func TestPartsAreCopiedFromReplicaThatPrefilledThem(t *testing.T) {
+	const largeBacklog = 110_000
 	for name, test := range map[string]struct {
-		begun time.Duration
-		asked time.Duration
-		copy  bool
+		answerStarted time.Duration
+		locatedAt     time.Duration
+		copy          bool
 	}{
-		"after its answer began":        {300 * time.Millisecond, 400 * time.Millisecond, true},
-		"while it is being read":        {0, 100 * time.Millisecond, false},
-		"when it must have been read":   {0, readAfter, true},
-		"when its cache has dropped it": {300 * time.Millisecond, cachedFor + time.Second, false},
+		"after its answer started":       {300 * time.Millisecond, 400 * time.Millisecond, true},
+		"during prefill":                 {0, 100 * time.Millisecond, false},
+		"after the assumed prefill time": {0, assumedPrefillTime, true},
+		"after the cache TTL":            {300 * time.Millisecond, cacheTTL + time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, _ := fleet(12, 1)
-			first := p.Choose(start, "u", copying(100))
-			if test.begun > 0 {
-				first.AnswerStarted(start.Add(test.begun))
+			first := p.Choose(start, "u", copyableRequest(100))
+			if test.answerStarted > 0 {
+				first.AnswerStarted(start.Add(test.answerStarted))
 			}
-			where := findPrefix(start.Add(test.asked), copying(100), p.upstream("u").openNow, p.upstream("u").openNow)
-			if held := where.holder != nil && where.holder.replica.ID == first.Replica.ID; held != test.copy {
-				t.Errorf("%s counts as having read the parts: %v", first.Replica.ID, held)
+			location := locatePrefix(start.Add(test.locatedAt), copyableRequest(100), p.upstream("u").available, p.upstream("u").available)
+			if prefilled := location.best != nil && location.best.replica.ID == first.Replica.ID; prefilled != test.copy {
+				t.Errorf("%s located as having prefilled the parts: %v, want the opposite", first.Replica.ID, prefilled)
 			}
 			if !test.copy {
 				return
 			}
-			idle := otherThan(p, first.Replica.ID)
-			loaded(p, idle, muchToRead)
-			again := p.Choose(start.Add(test.asked), "u", copying(100))
+			idle := otherLongSideReplica(p, first.Replica.ID)
+			setPeerBacklog(p, idle, largeBacklog)
+			again := p.Choose(start.Add(test.locatedAt), "u", copyableRequest(100))
 			if again.Replica.ID != idle || again.CopyFrom != first.Replica.Address {
-				t.Errorf("it went to %s and copies from %q, want %s and %q", again.Replica.ID, again.CopyFrom, idle, first.Replica.Address)
+				t.Errorf("placed on %s copying from %q, want %s and %q", again.Replica.ID, again.CopyFrom, idle, first.Replica.Address)
 			}
-			if again.Choice.CachedTokens != copying(100).sharedTokens() {
-				t.Errorf("%d tokens count as cached with the copy", again.Choice.CachedTokens)
+			if again.Choice.CachedTokens != copyableRequest(100).sharedTokens() {
+				t.Errorf("%d cached tokens including the copy, want all shared ones", again.Choice.CachedTokens)
 			}
 		})
 	}
 }
 
-// otherThan is a replica of the heavy side that is not the given one.
-func otherThan(p *Placer, id string) string {
-	open := p.upstream("u").openNow
+// otherLongSideReplica returns a replica of the long side other than id.
+func otherLongSideReplica(p *Placer, id string) string {
+	open := p.upstream("u").available
 	for i := len(open) - 1; i >= 0; i-- {
 		if open[i].replica.ID != id {
 			return open[i].replica.ID
@@ -76,30 +77,29 @@
 	return ""
 }
 
-// After a restart of all nodes none knows where a session is: the first home is asked
-// for it, and may copy from the second.
-func TestANodeThatKnowsNothingAsksBothHomes(t *testing.T) {
+// After a restart of all nodes, the primary and secondary replicas copy from each other.
+func TestUnknownPrefixIsCopiedBetweenPrimaryAndSecondary(t *testing.T) {
 	p, _ := fleet(12, 1)
-	a := p.Choose(start, "u", copying(100))
-	where := findPrefix(start, copying(150), p.upstream("u").openNow, p.upstream("u").openNow)
-	if where.home == nil || where.second == nil || where.home == where.second {
-		t.Fatalf("homes %v and %v", where.home, where.second)
+	a := p.Choose(start, "u", copyableRequest(100))
+	location := locatePrefix(start, copyableRequest(150), p.upstream("u").available, p.upstream("u").available)
+	if location.primary == nil || location.secondary == nil || location.primary == location.secondary {
+		t.Fatalf("primary %v and secondary %v, want two different replicas", location.primary, location.secondary)
 	}
-	if source := where.source(where.home, 0); source != where.second {
-		t.Errorf("the first home copies from %v", source)
+	if source := location.source(location.primary, 0); source != location.secondary {
+		t.Errorf("the primary copies from %v, want the secondary", source)
 	}
-	if source := where.source(where.second, 0); source != where.home {
-		t.Errorf("the second home copies from %v", source)
+	if source := location.source(location.secondary, 0); source != location.primary {
+		t.Errorf("the secondary copies from %v, want the primary", source)
 	}
 	a.End(start, Cancelled)
 	b := p.Choose(start, "u", long(100))
 	if b.CopyFrom != "" {
-		t.Errorf("copies from %s though the engine can't", b.CopyFrom)
+		t.Errorf("copies from %s although the engine does not support it", b.CopyFrom)
 	}
 }
 
-// A prompt waits for those of its own rank and before; engines read the others later.
-func TestLessUrgentPromptsAreNotAhead(t *testing.T) {
+// A prompt waits only for prompts of its own and more urgent ranks.
+func TestPrefillAheadExcludesLessUrgentRanks(t *testing.T) {
 	p, set := fleet(1, 1)
 	id := set.ForUpstream("u")[0].ID
 	p.Choose(start, "u", &Request{}).End(start, Cancelled)
--- a/internal/placement/ratelimits.go
+++ b/internal/placement/ratelimits.go
@@ -6,49 +6,49 @@
 	"galenatrestle/internal/ratelimit"
 )
 
-// rateLimits is what one choice sees of the replicas that name a rate.
+// rateLimits is the state of the rate limited replicas during one choice.
 type rateLimits struct {
 	permits *ratelimit.Permits
-	inForce map[string]ratelimit.Limit
+	limits  map[string]ratelimit.Limit
 	now     time.Time
-	// avoid says that the request goes to none of them.
-	avoid bool
+	// excludeLimited excludes all rate limited replicas.
+	excludeLimited bool
 }
 
 func (u *upstream) rateLimits(now time.Time) rateLimits {
 	if u.permits == nil {
 		return rateLimits{}
 	}
-	return rateLimits{permits: u.permits, inForce: u.permits.Limits(), now: now}
+	return rateLimits{permits: u.permits, limits: u.permits.Limits(), now: now}
 }
 
-// apply says whether the replica names a rate.
-func (l *rateLimits) apply(s *state) bool { return ratelimit.Limited(l.inForce, &s.replica) }
+// isLimited reports whether the replica is rate limited.
+func (l *rateLimits) isLimited(s *replicaState) bool { return ratelimit.Limited(l.limits, &s.replica) }
 
-// allow says whether the replica may be chosen: it names no rate, or a permit of it may be
-// asked for.
-func (l *rateLimits) allow(s *state) bool {
-	return !l.apply(s) || !l.avoid && !l.permits.Next(s.replica.ID).After(l.now)
+// allows reports whether the replica may be chosen: it is not rate limited, or a permit may be
+// requested now.
+func (l *rateLimits) allows(s *replicaState) bool {
+	return !l.isLimited(s) || !l.excludeLimited && !l.permits.Next(s.replica.ID).After(l.now)
 }
 
-// RateLimited tells of the replicas of an upstream that name rates.
+// RateLimited describes the rate limited replicas of an upstream.
 type RateLimited struct {
 	// Replicas is their number.
 	Replicas int
-	// NextPermitAt is when a permit of one of them may be asked for again, the earliest.
+	// NextPermitAt is the earliest time at which a permit for any of them may be requested.
 	NextPermitAt time.Time
 }
 
-// RateLimited tells why Choose found no replica of the upstream, where their rates are the
-// reason.
+// RateLimited returns the rate limited replicas of the upstream, to explain why Choose found
+// none.
 func (p *Placer) RateLimited(now time.Time, name string) RateLimited {
 	u := p.upstream(name)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var found RateLimited
 	limits := u.rateLimits(now)
-	for _, s := range u.openNow {
-		if !limits.apply(s) {
+	for _, s := range u.available {
+		if !limits.isLimited(s) {
 			continue
 		}
 		next := u.permits.Next(s.replica.ID)
--- a/internal/placement/ratelimits_test.go
+++ b/internal/placement/ratelimits_test.go
@@ -10,8 +10,8 @@
 	"galenatrestle/internal/replica"
 )
 
-// limitedFleet is a fleet of which the first replicas name a rate, with permits that are all
-// refused for a minute.
+// limitedFleet returns a placer for n replicas of which the first ones are rate limited, with
+// permits that are all refused for a minute.
 func limitedFleet(n, limited int) (*Placer, *ratelimit.Permits) {
 	p, set := fleet(n, 1)
 	table := ratelimit.NewTable(func() boottime.Instant { return 2 })
@@ -26,8 +26,9 @@
 	return p, permits
 }
 
-// refuse has the permit of each replica that is chosen refused until one without a rate is.
-func refuse(t *testing.T, p *Placer, permits *ratelimit.Permits) *Attempt {
+// chooseRefusingPermits chooses replicas until one needs no permit or none is left; each
+// needed permit is refused.
+func chooseRefusingPermits(t *testing.T, p *Placer, permits *ratelimit.Permits) *Attempt {
 	t.Helper()
 	for {
 		a := p.Choose(time.Now(), "u", short())
@@ -41,41 +42,41 @@
 	}
 }
 
-func TestAReplicaWithoutAPermitLeftIsNotChosen(t *testing.T) {
+func TestRateLimitedReplicaWithoutPermitIsNotChosen(t *testing.T) {
 	p, permits := limitedFleet(6, 4)
 	for range 20 {
-		a := refuse(t, p, permits)
+		a := chooseRefusingPermits(t, p, permits)
 		if a == nil {
-			t.Fatal("no replica, though two name no rate")
+			t.Fatal("no replica chosen, although two are not rate limited")
 		}
 		if ratelimit.Limited(permits.Limits(), &a.Replica) {
-			t.Fatalf("%s names a rate and is chosen without a permit", a.Replica.ID)
+			t.Fatalf("rate limited replica %s was chosen without a permit", a.Replica.ID)
 		}
 	}
 }
 
-func TestWhereAllReplicasNameRatesNoneIsChosenWithoutAPermit(t *testing.T) {
+func TestNoReplicaIsChosenWhenAllAreRateLimited(t *testing.T) {
 	p, permits := limitedFleet(3, 3)
-	if a := refuse(t, p, permits); a != nil {
-		t.Fatalf("%s was chosen", a.Replica.ID)
+	if a := chooseRefusingPermits(t, p, permits); a != nil {
+		t.Fatalf("%s was chosen, want none", a.Replica.ID)
 	}
 	found := p.RateLimited(time.Now(), "u")
 	if found.Replicas != 3 || time.Until(found.NextPermitAt) < 50*time.Second {
-		t.Errorf("found %+v", found)
+		t.Errorf("rate limited replicas: %+v, want 3 with the next permit in about a minute", found)
 	}
 	if found := p.RateLimited(time.Now(), "other"); found.Replicas != 0 {
-		t.Errorf("an upstream without replicas has limited ones: %+v", found)
+		t.Errorf("rate limited replicas of an upstream without replicas: %+v", found)
 	}
 }
 
-// A node of a large fleet looks at a few replicas that it draws; all of these may be without a
+// A node of a large fleet considers a few random replicas, all of which may be without a
 // permit.
-func TestWhereAllDrawnReplicasNameRatesTheOthersAreLookedAt(t *testing.T) {
+func TestAllReplicasAreConsideredWhenSampledOnesAreRateLimited(t *testing.T) {
 	p, permits := limitedFleet(40, 39)
 	p.Choose(time.Now(), "u", short()).End(time.Now(), Cancelled)
 	p.SetFleetLoads([]Load{{Replica: "i-00", Running: 400}}, nil, time.Now())
 	for range 50 {
-		a := refuse(t, p, permits)
+		a := chooseRefusingPermits(t, p, permits)
 		if a == nil || a.Replica.ID != "i-39" {
 			t.Fatalf("chosen: %+v", a)
 		}
@@ -83,7 +84,7 @@
 	}
 }
 
-func TestARequestMayKeepFromReplicasThatNameRates(t *testing.T) {
+func TestRequestCanExcludeRateLimitedReplicas(t *testing.T) {
 	p, permits := limitedFleet(4, 3)
 	request := short()
 	request.ExcludeRateLimited = true
@@ -94,23 +95,23 @@
 	}
 }
 
-// A replica whose permit was refused has not read the prompt, and other nodes must not hear
-// that it has.
-func TestAPlacementIsToldOnceItIsPermitted(t *testing.T) {
+// A replica whose permit was refused has not prefilled the prompt, so its placement must not
+// be announced.
+func TestPlacementIsAnnouncedOnlyAfterPermit(t *testing.T) {
 	p, _ := limitedFleet(1, 1)
 	now := time.Now()
 	refused := p.Choose(now, "u", long(100))
 	refused.End(now, Cancelled)
 	if told := p.Placements(now, time.Time{}); len(told) != 0 {
-		t.Errorf("told after a refusal: %v", told)
+		t.Errorf("placements after a refused permit: %v, want none", told)
 	}
 	p.Choose(now, "u", long(100)).PermitGranted(now)
 	if told := p.Placements(now, time.Time{}); len(told) != 1 {
-		t.Errorf("told after a permit: %v", told)
+		t.Errorf("placements after a granted permit: %v, want one", told)
 	}
 }
 
-func TestAnotherProcessUnderTheSameIdentityHasNoRate(t *testing.T) {
+func TestRestartedReplicaIsNotRateLimited(t *testing.T) {
 	p, _ := limitedFleet(1, 1)
 	p.replicas.Update(replica.Listing{Revision: 2, Replicas: []replica.Replica{{ID: "i-00", StartedAt: 9, Upstream: "u", Slots: 32}}}, 3, 3)
 	if a := p.Choose(start, "u", short()); a == nil || a.NeedsPermit {
--- a/internal/placement/reading.go
+++ b/internal/placement/reading.go
@@ -1,24 +1,22 @@
 package placement
 
-// Ranks is the number of ranks that are told apart; 0 is the most urgent, and
-// all beyond the last count as the last.
+// Ranks is the number of distinct ranks; 0 is the most urgent. Higher ranks count as the last.
 const Ranks = 10
 
-// PrefillBacklog is the prompt tokens that replicas are reading or have still to read,
-// by the rank of their requests. Engines read the prompt of a more urgent request
-// first, so that a request waits only for those of its own rank and before.
+// PrefillBacklog is the prompt tokens not yet prefilled, by rank of their requests. Engines
+// prefill more urgent requests first, so a request waits only for its own and more urgent
+// ranks.
 type PrefillBacklog [Ranks]int
 
-// rankIndex is the place of a rank.
 func rankIndex(rank int) int { return min(max(rank, 0), Ranks-1) }
 
-// add counts tokens of a request of the rank; negative ones take it out.
+// add adds the tokens of a request of the rank; negative tokens remove it.
 func (r *PrefillBacklog) add(rank, tokens int) { r[rankIndex(rank)] += tokens }
 
-// Total is the tokens of all ranks.
+// Total returns the tokens of all ranks.
 func (r *PrefillBacklog) Total() int { return r.upTo(Ranks - 1) }
 
-// upTo is the tokens that are read before a new request of the rank.
+// upTo returns the tokens that are prefilled before a new request of the rank.
 func (r *PrefillBacklog) upTo(rank int) int {
 	total := 0
 	for _, tokens := range r[:rankIndex(rank)+1] {
@@ -27,7 +25,7 @@
 	return total
 }
 
-// plus is the sum of both.
+// plus returns the sum of both.
 func (r PrefillBacklog) plus(other *PrefillBacklog) PrefillBacklog {
 	for rank := range r {
 		r[rank] += other[rank]
@@ -35,8 +33,7 @@
 	return r
 }
 
-// minus takes a part out. News of the part and of the whole differ in age, so
-// that nothing falls below zero.
+// minus subtracts part, but not below zero: the two may come from reports of different age.
 func (r PrefillBacklog) minus(part *PrefillBacklog) PrefillBacklog {
 	for rank := range r {
 		r[rank] = max(r[rank]-part[rank], 0)
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -1,14 +1,14 @@
 package placement
 
-// PromptPart is one part of a prompt, which replicas cache.
+// PromptPart is a contiguous part of a prompt that replicas can cache.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// Request is what a choice needs to know.
+// Request is the properties of a request that a choice depends on.
 type Request struct {
-	// Class groups requests of about the same size.
+	// Class groups requests of similar size.
 	Class string
 	// Rank is the urgency; 0 is the most urgent.
 	Rank int
@@ -16,29 +16,28 @@
 	PromptTokens int
 	// AnswerTokens is the expected length of the answer.
 	AnswerTokens int
-	// MemoryTokens bounds the tokens in a replica's memory; zero: not known.
+	// MemoryTokens is the capacity of a replica's memory in tokens; zero: not known.
 	MemoryTokens int
-	// CanCopyCache says that a replica can copy cached parts from another one.
+	// CanCopyCache says that replicas can copy cached parts from each other.
 	CanCopyCache bool
-	// Shared are the prompt's parts that other requests have too, in order.
+	// Shared is the leading parts of the prompt that it shares with other requests, in order.
 	Shared []PromptPart
-	// ExcludeRateLimited keeps the request from replicas that name a rate.
+	// ExcludeRateLimited excludes rate limited replicas.
 	ExcludeRateLimited bool
-	// Avoid names replicas that have failed this request already.
+	// Avoid is the IDs of replicas that have already failed this request.
 	Avoid []string
-	// FailedZones are the availability zones of these.
+	// FailedZones is the availability zones of the replicas in Avoid.
 	FailedZones []string
 }
 
-// tokens is what the request takes of a replica's memory.
+// tokens returns the number of tokens that the request takes of a replica's memory.
 func (r *Request) tokens() int { return r.PromptTokens + r.AnswerTokens }
 
-// sharedTokens is the length of the shared parts.
 func (r *Request) sharedTokens() int {
 	return length(r.Shared)
 }
 
-// length is the tokens of the parts.
+// length returns the total number of tokens of the parts.
 func length(parts []PromptPart) int {
 	total := 0
 	for _, p := range parts {
--- a/internal/placement/result.go
+++ b/internal/placement/result.go
@@ -1,30 +1,29 @@
 package placement
 
-// Result says how a replica treated an attempt.
+// Result is the outcome of an attempt.
 type Result int
 
-// The results.
+// Outcomes of attempts.
 const (
-	// Answered attempts brought an answer or its first event.
+	// Answered means that the replica sent an answer or its first event.
 	Answered Result = iota
-	// Cancelled attempts were ended by this side and say nothing.
+	// Cancelled means that this side ended the attempt; it says nothing about the replica.
 	Cancelled
-	// Full replicas refused the attempt before running it.
+	// Full means that the replica rejected the request before running it.
 	Full
-	// Errored replicas answered with a failure of their own.
+	// Errored means that the replica answered with an error.
 	Errored
-	// Interrupted attempts lost their connection or their answer's end.
+	// Interrupted means that the connection was lost or the answer was incomplete.
 	Interrupted
-	// TimedOut attempts brought nothing in the time allowed.
+	// TimedOut means that the replica sent nothing in time.
 	TimedOut
-	// Unreachable replicas took no connection.
+	// Unreachable means that the connection could not be established.
 	Unreachable
-	// Replaced replicas have given their address to another process.
+	// Replaced means that the replica's address now belongs to another process.
 	Replaced
 )
 
-// penalties are the failures that a result counts for. The scale is relative:
-// one Broken is 1.
+// penalties is the failure score that each result adds, relative to Interrupted.
 var penalties = map[Result]float64{
 	Full:        0.5,
 	Errored:     0.7,
--- a/internal/placement/split.go
+++ b/internal/placement/split.go
@@ -12,66 +12,65 @@
 	"galenatrestle/internal/replica"
 )
 
-// An engine reads long prompts between the tokens of the requests that run
-// there: a few of them in a row hold every running stream up beyond its longest
-// pause. The replicas of an engine are therefore split in two sides, one for
-// classes with long prompts and one for the others, by the load of each. All
-// nodes order the replicas alike, and learn of each other's load, so that their
-// splits differ by a replica at most.
+// Engines interleave the prefill of long prompts with the decoding of running requests;
+// several long prefills in a row stall every running stream. The replicas of an engine are
+// therefore split into two sides by load, one for classes with short prompts and one for
+// classes with long prompts. All nodes order the replicas alike and exchange loads, so their
+// splits differ by at most about one replica.
 const (
-	// heavyFrom is the usual prompt of a class from which it counts as heavy:
-	// what an engine reads in one step.
-	heavyFrom = 2000
-	// promptWeight is the weight of one prompt in its class's usual one.
+	// longPromptFrom is the average prompt length, in tokens, from which a class counts as long:
+	// what an engine prefills in one step.
+	longPromptFrom = 2000
+	// promptWeight is the weight of one prompt in its class's average length.
 	promptWeight = 0.05
-	// lightPerReplica is the light requests that a replica runs well at once,
-	// heavyPerReplica the heavy ones.
-	lightPerReplica = 20.0
-	// lightAtMost is the light requests up to which a replica is filled rather
-	// than that the heavy side gives one up.
-	lightAtMost     = 26.0
-	heavyPerReplica = 4.0
-	// splitMemory is the time over which the loads are averaged: longer than the news
-	// of other nodes take, much shorter than a burst. With a burst of long prompts and
-	// then one of short ones on 9 replicas, 0.4 s had 0.875 of all on time, 1 s 0.858.
-	splitMemory = 400 * time.Millisecond
-	// lightAmongHeavy and heavyAmongLight are the costs of a replica of the
-	// other side, in milliseconds: about what the pauses and the longer wait
-	// for the first token are worth.
-	lightAmongHeavy = 150.0
-	heavyAmongLight = 100.0
-	// stallFrom is the time of reading prompts in a row, in milliseconds, from
-	// which the running light streams begin to be held up beyond their longest
-	// pause, and stallTo that from which all of them are. stallCost is the cost
-	// of each of them.
+	// shortPerReplica and longPerReplica are the target numbers of concurrent requests per
+	// replica.
+	shortPerReplica = 20.0
+	// maxShortPerReplica is the number of short-prompt requests up to which a replica is filled
+	// before the long side gives up a replica.
+	maxShortPerReplica = 26.0
+	longPerReplica     = 4.0
+	// splitAveragingTime is the averaging time of the loads: longer than load reports take to
+	// arrive, much shorter than a burst.
+	splitAveragingTime = 400 * time.Millisecond
+	// shortOnLongSideCost and longOnShortSideCost are the costs of a replica of the other side, in
+	// milliseconds.
+	shortOnLongSideCost = 150.0
+	longOnShortSideCost = 100.0
+	// stallFrom is the time of consecutive prefill, in milliseconds, from which short-prompt
+	// streams start to stall beyond the longest acceptable pause, and stallTo that at which all of
+	// them do. stallCost is the cost per stalled stream.
 	stallFrom = 100.0
 	stallTo   = 200.0
 	stallCost = 300.0
 )
 
-// split is the averaged load of the two sides, in replicas.
+// split is the average load of the two sides, in replicas.
 type split struct {
-	light, heavy float64
-	at           time.Time
+	shortLoad, longLoad float64
+	updatedAt           time.Time
 }
 
-// learnPrompt takes in the length of a prompt.
+// learnPrompt updates the average prompt length of the request's class.
 func (u *upstream) learnPrompt(r *Request) {
 	if r.PromptTokens == 0 {
 		return
 	}
-	usual, known := u.prompts[r.Class]
+	usual, known := u.usualPromptTokens[r.Class]
 	if !known {
 		usual = float64(r.PromptTokens)
 	}
-	u.prompts[r.Class] = usual + promptWeight*(float64(r.PromptTokens)-usual)
+	u.usualPromptTokens[r.Class] = usual + promptWeight*(float64(r.PromptTokens)-usual)
 }
 
-// heavy says whether the request's class has long prompts.
-func (u *upstream) heavy(r *Request) bool { return u.prompts[r.Class] >= heavyFrom }
+// hasLongPrompts reports whether the request's class has long prompts.
+func (u *upstream) hasLongPrompts(r *Request) bool {
+	return u.usualPromptTokens[r.Class] >= longPromptFrom
+}
 
-// open lists the replicas that take new requests, in the order of the split.
-func open(replicas []replica.Replica) []replica.Replica {
+// availableReplicas returns the replicas that accept new requests, ordered by a hash of their
+// IDs.
+func availableReplicas(replicas []replica.Replica) []replica.Replica {
 	open := make([]replica.Replica, 0, len(replicas))
 	for _, r := range replicas {
 		if !r.Draining {
@@ -87,62 +86,61 @@
 	return open
 }
 
-// lightSide is the number of replicas, from the first, that take light requests.
-func (u *upstream) lightSide(now time.Time, r *Request, open []*state) int {
+// shortSideSize returns how many replicas, from the first, form the short side.
+func (u *upstream) shortSideSize(now time.Time, r *Request, open []*replicaState) int {
 	if r.PromptTokens == 0 || len(open) < 2 {
 		return len(open)
 	}
-	usual, atMost := lightPer(open)
-	u.average(now, open, usual)
-	light, heavy := u.split.light+assumedDemand, u.split.heavy+assumedDemand
-	side := int(math.Round(float64(len(open)) * light / (light + heavy)))
-	// Heavy requests that queue up do not take the replicas which the light
-	// ones need, and those of a light side that is full spread no further.
-	least := int(math.Ceil(u.split.light * usual / atMost))
-	return min(max(side, least, 1), len(open)-1)
+	usual, atMost := shortCapacity(open)
+	u.updateAverages(now, open, usual)
+	shortLoad, longLoad := u.split.shortLoad+assumedDemand, u.split.longLoad+assumedDemand
+	side := int(math.Round(float64(len(open)) * shortLoad / (shortLoad + longLoad)))
+	// The short side keeps the replicas that its load needs, even when long-prompt requests queue
+	// up.
+	minimum := int(math.Ceil(u.split.shortLoad * usual / atMost))
+	return min(max(side, minimum, 1), len(open)-1)
 }
 
-// assumedDemand is added to each side's demand, in replicas, so that a side
-// without requests, as at the start, has room for the first of them.
+// assumedDemand is added to each side's load, in replicas, so that an idle side has room for
+// its first requests.
 const assumedDemand = 0.3
 
-// average takes the present load into the averages, in which a replica runs so many
-// light requests well.
-func (u *upstream) average(now time.Time, open []*state, lightPer float64) {
-	light, running, own := 0, 0, 0
+// updateAverages updates the average loads. usualShort is the target number of short-prompt
+// requests per replica.
+func (u *upstream) updateAverages(now time.Time, open []*replicaState, usualShort float64) {
+	runningShort, running, own := 0, 0, 0
 	for _, s := range open {
 		own += s.running
-		light += s.light + s.peersLight
+		runningShort += s.runningShort + s.peersRunningShort
 		running += s.running + s.peersRunning
 	}
-	passed := now.Sub(u.split.at)
-	u.split.at = now
-	keep := math.Exp(-passed.Seconds() / splitMemory.Seconds())
-	u.averageRunning(passed, own, running)
-	u.split.light = keep*u.split.light + (1-keep)*float64(light)/lightPer
-	u.split.heavy = keep*u.split.heavy + (1-keep)*float64(running-light)/heavyPerReplica
+	elapsed := now.Sub(u.split.updatedAt)
+	u.split.updatedAt = now
+	decay := math.Exp(-elapsed.Seconds() / splitAveragingTime.Seconds())
+	u.updateRunningAverages(elapsed, own, running)
+	u.split.shortLoad = decay*u.split.shortLoad + (1-decay)*float64(runningShort)/usualShort
+	u.split.longLoad = decay*u.split.longLoad + (1-decay)*float64(running-runningShort)/longPerReplica
 }
 
-// stalling is the cost of holding up the light streams that run at the replica
-// while the request's prompt is read there, of which uncached tokens are not in
-// the cache.
-func (u *upstream) stalling(r *Request, s *state, uncached int) float64 {
-	if !u.heavy(r) {
+// stallingCost returns the cost of stalling the short-prompt streams at the replica while the
+// request's uncached tokens are prefilled.
+func (u *upstream) stallingCost(r *Request, s *replicaState, uncached int) float64 {
+	if !u.hasLongPrompts(r) {
 		return 0
 	}
-	stall := u.reading.PrefillMS(s.toRead() + uncached)
+	stall := u.prefillSpeed.PrefillMS(s.pendingPrefill() + uncached)
 	part := min(max((stall-stallFrom)/(stallTo-stallFrom), 0), 1)
-	return part * stallCost * float64(s.light+s.peersLight)
+	return part * stallCost * float64(s.runningShort+s.peersRunningShort)
 }
 
-// sideCost is what it costs to place the request on the side.
-func (u *upstream) sideCost(r *Request, lightSide bool) float64 {
+// sideCost returns the cost of placing the request on the given side.
+func (u *upstream) sideCost(r *Request, onShortSide bool) float64 {
 	switch {
-	case r.PromptTokens == 0 || u.heavy(r) != lightSide:
+	case r.PromptTokens == 0 || u.hasLongPrompts(r) != onShortSide:
 		return 0
-	case lightSide:
-		return heavyAmongLight
+	case onShortSide:
+		return longOnShortSideCost
 	default:
-		return lightAmongHeavy
+		return shortOnLongSideCost
 	}
 }
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -7,89 +7,88 @@
 	"galenatrestle/internal/replica"
 )
 
-// state is what is known of one replica.
-type state struct {
+// replicaState is the known state of one replica.
+type replicaState struct {
 	replica replica.Replica
-	// running counts this node's attempts there; reading the prompt tokens of
-	// those that have brought nothing yet; tokens is what all of them take of
-	// the replica's memory.
-	// light counts those of the running attempts whose class is light.
-	running int
-	reading PrefillBacklog
-	light   int
-	tokens  int
-	// peersRunning and the like are the other nodes' sums as last told.
-	peersRunning int
-	peersReading PrefillBacklog
-	peersLight   int
-	peersTokens  int
-	// peersFailures is the other nodes' failure score as last told.
-	peersFailures float64
-	// failures is a score that halves every failureHalfLife; failedAt is when
-	// it was last worked out.
-	failures float64
-	failedAt time.Time
-	// heardAt is the last byte from the replica; waitingSince the start of the
-	// oldest attempt since then that has brought nothing.
-	heardAt      time.Time
+	// running is the number of this node's attempts at the replica, runningShort those of classes
+	// with short prompts, prefillBacklog the prompt tokens of attempts without a first byte, and
+	// tokensInMemory what all attempts take of the replica's memory.
+	running        int
+	prefillBacklog PrefillBacklog
+	runningShort   int
+	tokensInMemory int
+	// The peers fields are the other nodes' sums as last reported.
+	peersRunning        int
+	peersPrefillBacklog PrefillBacklog
+	peersRunningShort   int
+	peersTokensInMemory int
+	peersFailureScore   float64
+	// failureScore decays with failureHalfLife; scoredAt is when it was last computed.
+	failureScore float64
+	scoredAt     time.Time
+	// lastDataAt is when data was last received from the replica; waitingSince is the start of the
+	// oldest attempt that has been waiting since.
+	lastDataAt   time.Time
 	waitingSince time.Time
 	cache        cache
 }
 
-// toRead is the prompt tokens that all nodes have sent there and that are not read
-// yet.
-func (s *state) toRead() int { return s.reading.Total() + s.peersReading.Total() }
+// pendingPrefill returns the prompt tokens sent by all nodes and not yet prefilled.
+func (s *replicaState) pendingPrefill() int {
+	return s.prefillBacklog.Total() + s.peersPrefillBacklog.Total()
+}
 
-// ahead is the part of toRead that is read before a new request of the rank.
-func (s *state) ahead(rank int) int { return s.reading.upTo(rank) + s.peersReading.upTo(rank) }
+// prefillAhead returns the part of pendingPrefill that is prefilled before a new request of
+// the rank.
+func (s *replicaState) prefillAhead(rank int) int {
+	return s.prefillBacklog.upTo(rank) + s.peersPrefillBacklog.upTo(rank)
+}
 
-// failureHalfLife is the time in which a failure counts half: long enough to
-// keep off a replica that fails part of its requests, short enough to come back
-// to one that was restarted.
+// failureHalfLife is the half-life of a failure score: long enough to keep load off a replica
+// that fails part of its requests, short enough to return soon to a restarted one.
 const failureHalfLife = 2 * time.Second
 
-// failuresAt is the failure score at now.
-func (s *state) failuresAt(now time.Time) float64 {
-	if s.failures == 0 {
+func (s *replicaState) failureScoreAt(now time.Time) float64 {
+	if s.failureScore == 0 {
 		return 0
 	}
-	age := now.Sub(s.failedAt)
-	return s.failures * math.Exp2(-age.Seconds()/failureHalfLife.Seconds())
+	age := now.Sub(s.scoredAt)
+	return s.failureScore * math.Exp2(-age.Seconds()/failureHalfLife.Seconds())
 }
 
-func (s *state) fail(now time.Time, penalty float64) {
-	s.failures = s.failuresAt(now) + penalty
-	s.failedAt = now
+func (s *replicaState) addFailure(now time.Time, penalty float64) {
+	s.failureScore = s.failureScoreAt(now) + penalty
+	s.scoredAt = now
 }
 
-// recover takes a part of the failures back after a success.
-func (s *state) recover(now time.Time) {
-	if s.failures == 0 {
+// recover reduces the failure score after a success.
+func (s *replicaState) recover(now time.Time) {
+	if s.failureScore == 0 {
 		return
 	}
-	s.failures = s.failuresAt(now) * successForgives
-	s.failedAt = now
-	if s.failures < negligibleFailures {
-		s.failures = 0
+	s.failureScore = s.failureScoreAt(now) * successDecay
+	s.scoredAt = now
+	if s.failureScore < negligibleFailures {
+		s.failureScore = 0
 	}
 }
 
 const (
-	// successForgives is the part of the failure score that remains after a
-	// success: a replica that fails 4 in 10 keeps a score well above 1.
-	successForgives = 0.7
-	// negligibleFailures is the score that is forgotten.
+	// successDecay is the factor applied to the failure score on success: a replica that fails 4
+	// in 10 requests keeps a score well above 1.
+	successDecay = 0.7
+	// negligibleFailures is the score below which it is reset to zero.
 	negligibleFailures = 0.05
 )
 
-// silence is how long the replica has been silent though attempts wait for it.
-func (s *state) silence(now time.Time) time.Duration {
+// unresponsiveFor returns how long the replica has sent no data while attempts wait for it.
+func (s *replicaState) unresponsiveFor(now time.Time) time.Duration {
 	if s.running == 0 || s.waitingSince.IsZero() {
 		return 0
 	}
 	since := s.waitingSince
-	if s.heardAt.After(since) {
-		since = s.heardAt
+	if s.lastDataAt.After(since) {
+		since = s.lastDataAt
 	}
 	return max(now.Sub(since), 0)
 }
--- a/internal/placement/upstream.go
+++ b/internal/placement/upstream.go
@@ -13,84 +13,85 @@
 	"galenatrestle/internal/replica"
 )
 
-// initialWorkMS is a plain service's expected time before any was seen.
-const initialWorkMS = 30.0
+// initialServiceMS is a plain service's expected answer time, in milliseconds, before any
+// observation.
+const initialServiceMS = 30.0
 
-// workWeight is the weight of one observation of a plain service's time.
-const workWeight = 0.05
+// serviceWeight is the weight of one observation in the average answer time of a plain
+// service.
+const serviceWeight = 0.05
 
-// upstream is the replicas of one upstream.
+// upstream is the state of one upstream's replicas.
 type upstream struct {
 	zone string
 
 	mu     sync.Mutex
 	rand   *rand.Rand
-	states map[string]*state
-	// all is the states as a list, which is much quicker to go through.
-	all []*state
-	// followed is the replicas that states were made for, openNow the states of
-	// those that take new requests, in the order of the split.
-	followed []replica.Replica
-	openNow  []*state
-	// workMS is the usual time of a plain service's answer.
-	workMS float64
-	// answerMS is the usual time from the first byte of an engine's answer to its end;
-	// zero: none was seen.
+	states map[string]*replicaState
+	// all is the values of states, for faster iteration.
+	all []*replicaState
+	// lastReplicas is the replicas that states were last updated for, available the states of
+	// those that accept new requests, in the order of availableReplicas.
+	lastReplicas []replica.Replica
+	available    []*replicaState
+	// serviceMS is the average answer time of a plain service.
+	serviceMS float64
+	// answerMS is the average time from the first byte of an engine's answer to its end; zero: no
+	// observation.
 	answerMS float64
-	// runningOwn and runningAll are the running requests of this node and of all,
-	// averaged.
-	runningOwn, runningAll float64
-	// seeAll has all replicas looked at.
-	seeAll bool
-	// permits are those for replicas that name a rate; nil: none is kept to.
-	permits *ratelimit.Permits
-	// reading is the learned speed at which the replicas read prompts.
-	reading *enginespeed.Estimator
-	// prompts is the usual prompt of each class, in tokens.
-	prompts map[string]float64
-	split   split
-	// placed is where prompts were sent lately, for the other nodes.
-	placed placements
-	// waiting is room for backlog.
-	waiting []int
+	// avgRunningOwn and avgRunningAll are the average numbers of running requests of this node and
+	// of all nodes.
+	avgRunningOwn, avgRunningAll float64
+	// considerAll disables random sampling of candidates.
+	considerAll bool
+	// permits are the rate limit permits; nil: rates are not enforced.
+	permits      *ratelimit.Permits
+	prefillSpeed *enginespeed.Estimator
+	// usualPromptTokens is the average prompt length by class.
+	usualPromptTokens map[string]float64
+	split             split
+	// recentPlacements is where prompts were recently sent, for announcement to other nodes.
+	recentPlacements placements
+	// backlogScratch is a reused buffer of medianPrefillMS.
+	backlogScratch []int
 }
 
 func newUpstream(zone string, random *rand.Rand) *upstream {
-	return &upstream{zone: zone, rand: random, states: make(map[string]*state), workMS: initialWorkMS, reading: enginespeed.NewEstimator(), prompts: make(map[string]float64)}
+	return &upstream{zone: zone, rand: random, states: make(map[string]*replicaState), serviceMS: initialServiceMS, prefillSpeed: enginespeed.NewEstimator(), usualPromptTokens: make(map[string]float64)}
 }
 
-// follow takes the replicas that are known now. The lock is held.
-func (u *upstream) follow(replicas []replica.Replica) {
-	if sameSlice(u.followed, replicas) {
+// syncReplicas updates the states to the known replicas. The lock is held.
+func (u *upstream) syncReplicas(replicas []replica.Replica) {
+	if sameSlice(u.lastReplicas, replicas) {
 		return
 	}
-	u.followed = replicas
+	u.lastReplicas = replicas
 	if len(u.states) > 2*len(replicas)+8 {
-		u.forget(replicas)
+		u.dropStale(replicas)
 	}
 	for _, r := range replicas {
 		if s, ok := u.states[r.ID]; ok && s.replica.StartedAt == r.StartedAt {
 			s.replica = r
 			continue
 		}
-		// A process that started again under its old identity holds nothing of before.
-		u.states[r.ID] = &state{replica: r}
+		// A restarted process with the same ID has an empty cache and no requests.
+		u.states[r.ID] = &replicaState{replica: r}
 	}
 	u.all = slices.Collect(maps.Values(u.states))
-	u.openNow = u.openNow[:0]
-	for _, r := range open(replicas) {
-		u.openNow = append(u.openNow, u.states[r.ID])
+	u.available = u.available[:0]
+	for _, r := range availableReplicas(replicas) {
+		u.available = append(u.available, u.states[r.ID])
 	}
 }
 
-// sameSlice says whether both are one slice. The set of replicas hands out the
-// same one until something changes.
+// sameSlice reports whether both are the same slice. The replica set returns the same slice
+// until it changes.
 func sameSlice(a, b []replica.Replica) bool {
 	return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0]
 }
 
-// forget drops the states of replicas that are gone and have no attempt.
-func (u *upstream) forget(replicas []replica.Replica) {
+// dropStale deletes the states of unlisted replicas without attempts.
+func (u *upstream) dropStale(replicas []replica.Replica) {
 	listed := make(map[string]bool, len(replicas))
 	for _, r := range replicas {
 		listed[r.ID] = true
@@ -102,88 +103,85 @@
 	}
 }
 
-// decision is a replica and what it was chosen by.
+// decision is the chosen replica and what it was chosen by.
 type decision struct {
-	state *state
+	state *replicaState
 	cost  float64
-	// cached is the tokens of the prompt that the replica has, or copies from source.
+	// cached is the prompt tokens that the replica has cached or copies from source.
 	cached int
 	// source is the replica to copy from; nil: none.
-	source *state
+	source *replicaState
 }
 
-// choose returns the cheapest of the replicas that take new requests, or nil.
+// choose returns the cheapest available replica, or nil.
 func (u *upstream) choose(now time.Time, r *Request, replicas []replica.Replica) *decision {
-	u.follow(replicas)
+	u.syncReplicas(replicas)
 	u.learnPrompt(r)
-	open := u.openNow
-	light := u.lightSide(now, r, open)
-	side := open[light:]
-	if !u.heavy(r) {
-		side = open[:light]
+	open := u.available
+	shortSide := u.shortSideSize(now, r, open)
+	side := open[shortSide:]
+	if !u.hasLongPrompts(r) {
+		side = open[:shortSide]
 	}
-	where := findPrefix(now, r, open, side)
-	reread := rereadCost * (1 + u.backlog(side)/backlogDoubles)
+	location := locatePrefix(now, r, open, side)
+	recompute := recomputeCost * (1 + u.medianPrefillMS(side)/backlogDoublingMS)
 	share := u.candidateShare(side)
-	best, least := u.cheapest(now, r, light, &where, reread, share)
+	best, lowest := u.cheapest(now, r, shortSide, &location, recompute, share)
 	if best == nil && share < 1 {
-		// All that were drawn name rates and have no permit left.
-		best, least = u.cheapest(now, r, light, &where, reread, 1)
+		// All sampled replicas were rate limited with no permit left; consider all.
+		best, lowest = u.cheapest(now, r, shortSide, &location, recompute, 1)
 	}
 	if best == nil {
 		return nil
 	}
-	return decide(now, r, best, least, &where)
+	return newDecision(now, r, best, lowest, &location)
 }
 
-// cheapest is the replica of the lowest cost, and that cost, among a share of the open ones
-// of which the first take light requests; nil: none of these may be used.
-func (u *upstream) cheapest(now time.Time, r *Request, light int, where *prefix, reread, share float64) (*state, float64) {
-	var best *state
-	least := math.Inf(1)
+// cheapest returns the replica of lowest cost, and that cost, among a random share of the
+// available ones, of which the first shortSide form the short side. It returns nil if none may
+// be used.
+func (u *upstream) cheapest(now time.Time, r *Request, shortSide int, location *prefixLocation, recompute, share float64) (*replicaState, float64) {
+	var best *replicaState
+	lowest := math.Inf(1)
 	limits := u.rateLimits(now)
-	limits.avoid = r.ExcludeRateLimited
-	for i, s := range u.openNow {
-		if !u.isCandidate(s, where, share) && (best != nil || i < len(u.openNow)-1) {
+	limits.excludeLimited = r.ExcludeRateLimited
+	for i, s := range u.available {
+		if !u.isCandidate(s, location, share) && (best != nil || i < len(u.available)-1) {
 			continue
 		}
-		// Equal costs are split at random, so that nodes with the same view
-		// do not all take the same replica.
-		cost := u.cost(now, r, s, where, reread)*(1+costJitter*u.rand.Float64()) + tieSpread*u.rand.Float64()
-		cost += u.sideCost(r, i < light)
-		if cost < least && limits.allow(s) {
-			best, least = s, cost
+		// Random jitter keeps nodes with the same view from all choosing the same replica.
+		cost := u.cost(now, r, s, location, recompute)*(1+costJitter*u.rand.Float64()) + tieSpread*u.rand.Float64()
+		cost += u.sideCost(r, i < shortSide)
+		if cost < lowest && limits.allows(s) {
+			best, lowest = s, cost
 		}
 	}
-	return best, least
+	return best, lowest
 }
 
-// decide is the decision for the replica.
-func decide(now time.Time, r *Request, s *state, cost float64, p *prefix) *decision {
-	cached := s.cache.tokens(now, r.Shared)
-	return &decision{state: s, cost: cost, cached: cached + p.copied(s, cached), source: p.source(s, cached)}
+func newDecision(now time.Time, r *Request, s *replicaState, cost float64, p *prefixLocation) *decision {
+	cached := s.cache.cachedTokens(now, r.Shared)
+	return &decision{state: s, cost: cost, cached: cached + p.copyableTokens(s, cached), source: p.source(s, cached)}
 }
 
-// backlog is the time that the replicas need to read the prompts that wait there,
-// in milliseconds: the median, so that one with a long queue does not count as
-// all of them.
-func (u *upstream) backlog(states []*state) float64 {
+// medianPrefillMS returns the median time, in milliseconds, to prefill the backlog of a
+// replica. The median ignores a single replica with a long queue.
+func (u *upstream) medianPrefillMS(states []*replicaState) float64 {
 	if len(states) == 0 {
 		return 0
 	}
-	u.waiting = u.waiting[:0]
+	u.backlogScratch = u.backlogScratch[:0]
 	for _, s := range states {
-		u.waiting = append(u.waiting, s.toRead())
+		u.backlogScratch = append(u.backlogScratch, s.pendingPrefill())
 	}
-	slices.Sort(u.waiting)
-	return u.reading.PrefillMS(u.waiting[len(u.waiting)/2])
+	slices.Sort(u.backlogScratch)
+	return u.prefillSpeed.PrefillMS(u.backlogScratch[len(u.backlogScratch)/2])
 }
 
 const (
-	// costJitter is the part of a cost by which the choices of nodes are spread
-	// whose views are equal.
+	// costJitter is the relative jitter of costs.
 	costJitter = 0.1
-	// tieSpread spreads the choices among idle replicas, in milliseconds: below
-	// what another availability zone costs.
+	// tieSpread is the absolute jitter, in milliseconds, that spreads requests over idle replicas.
+	// It is less than the cost of another availability zone.
 	tieSpread = 1.0
 )
