--- a/internal/membership/answer.go
+++ b/internal/membership/answer.go
@@ -6,82 +6,81 @@
 	membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 )
 
-// HandleSync takes in a peer's message and returns the answer.
+// HandleSync merges a Sync request of a peer and returns the response.
 func (t *Table) HandleSync(now time.Time, r *membershipv1.SyncRequest) *membershipv1.SyncResponse {
 	t.counts.SyncsHandled++
 	sender := r.GetGossip().GetSender()
 	if sender.GetRegion() != t.self.wire.Region {
-		return t.handleRegion(now, r)
+		return t.handleRegionSync(now, r)
 	}
-	t.heardFrom(now, sender)
+	t.mergeSender(now, sender)
 	t.mergeGossip(now, r.GetGossip())
-	about := t.entries[sender.GetName()]
-	gossip := t.answerGossip(now, r, about)
+	recipient := t.entries[sender.GetName()]
+	gossip := t.responseGossip(now, r, recipient)
 	if r.Target != t.self.wire.Name || r.TargetIncarnation != t.self.wire.Incarnation {
 		gossip.Sender = t.self.wire
 	}
 	return &membershipv1.SyncResponse{Gossip: gossip}
 }
 
-func (t *Table) answerGossip(now time.Time, r *membershipv1.SyncRequest, about *entry) *membershipv1.Gossip {
+func (t *Table) responseGossip(now time.Time, r *membershipv1.SyncRequest, recipient *entry) *membershipv1.Gossip {
 	if r.WantAll {
-		return t.wholeGossip(now)
+		return t.fullGossip(now)
 	}
-	return t.gossip(now, about)
+	return t.gossip(now, recipient)
 }
 
-// heardFrom merges a peer's own word of itself. A suspect that still speaks
-// gets the full time to refute again: what is cut may be the way to it alone.
-func (t *Table) heardFrom(now time.Time, sender *membershipv1.Member) {
+// mergeSender merges a peer's own record. A suspect that still sends messages gets
+// a new suspicion timeout, as perhaps only the path to it has failed.
+func (t *Table) mergeSender(now time.Time, sender *membershipv1.Member) {
 	t.mergeMember(now, sender)
 	e, ok := t.entries[sender.GetName()]
 	if ok && e.wire.Liveness == suspect {
-		e.deadline = now.Add(t.suspicionTime())
+		e.deadline = now.Add(t.suspicionTimeout())
 	}
 }
 
-// HandleResponse takes in the answer to a call.
+// HandleResponse merges the response to a call.
 func (t *Table) HandleResponse(now time.Time, c Call, r *membershipv1.SyncResponse) {
 	gossip := r.GetGossip()
 	sender := gossip.GetSender()
 	if sender != nil && sender.GetRegion() != t.self.wire.Region {
-		t.answeredRegion(now, c, gossip)
+		t.handleRegionResponse(now, c, gossip)
 		return
 	}
 	if sender != nil {
-		t.heardFrom(now, sender)
+		t.mergeSender(now, sender)
 	}
 	if c.Kind == CallSeed {
-		t.seeds.answered(c.Address)
+		t.seeds.remove(c.Address)
 	}
 	t.mergeGossip(now, gossip)
 	t.awareness = max(t.awareness-1, 0)
-	t.compareHash(now, c, gossip.GetTableHash())
+	t.checkTableHash(now, c, gossip.GetTableHash())
 }
 
-// compareHash asks for the whole table where those of several peers in a row
-// differ though nothing has changed here for a while.
-func (t *Table) compareHash(now time.Time, c Call, hash uint64) {
+// checkTableHash schedules a full sync if several responses in a row had a
+// different hash and this table has not changed for settleTime.
+func (t *Table) checkTableHash(now time.Time, c Call, hash uint64) {
 	if hash == t.hash {
-		t.mismatches = 0
+		t.hashMismatches = 0
 		return
 	}
-	t.mismatches++
-	settled := now.Sub(t.changed) > settleTime && t.mismatches >= mismatchesToAsk
-	if !settled || now.Sub(t.lastWantAll) < settleTime {
+	t.hashMismatches++
+	diverged := now.Sub(t.lastChange) > settleTime && t.hashMismatches >= fullSyncMismatches
+	if !diverged || now.Sub(t.lastFullSync) < settleTime {
 		return
 	}
-	t.mismatches = 0
-	t.lastWantAll = now
-	t.askWhole = c.Target
+	t.hashMismatches = 0
+	t.lastFullSync = now
+	t.fullSyncTarget = c.Target
 }
 
-// HandleFailure tells that a call got no answer. For a heartbeat it returns the
-// indirect probes to send; where there is nobody to ask the target is
-// suspected at once.
+// HandleFailure records that a call got no response. It returns the indirect probes
+// for a failed heartbeat; without helpers the target becomes suspect at once.
 func (t *Table) HandleFailure(now time.Time, c Call) []IndirectCall {
 	if c.Kind == CallSeed || c.Kind == CallRegion {
-		t.seeds.failed(now, c.Address)
+		t.seeds.recordFailure(now, c.Address)
 		return nil
 	}
 	e, ok := t.entries[c.Target]
@@ -106,12 +105,11 @@
 	return calls
 }
 
-// HandleIndirectSuccess tells that a helper reached the target: what is cut is this node's
-// own way to it.
+// HandleIndirectSuccess records that a helper reached the target.
 func (t *Table) HandleIndirectSuccess(time.Time, Call) { t.awareness = max(t.awareness-1, 0) }
 
-// HandleUnreachable tells that neither this node nor its helpers reached the target,
-// which is suspected at the incarnation that was probed.
+// HandleUnreachable records that neither this node nor a helper reached the target.
+// The target becomes suspect unless its incarnation has changed since the probe.
 func (t *Table) HandleUnreachable(now time.Time, c Call) {
 	t.awareness = min(t.awareness+1, maxAwareness)
 	e, ok := t.entries[c.Target]
@@ -120,13 +118,13 @@
 	}
 	t.change(now, e, func(m *membershipv1.Member) { m.Liveness = suspect })
 	t.setDeadline(now, e)
-	t.urgent = true
+	t.pushPending = true
 }
 
-// HandleProbe returns the message by which this node probes a target for another.
+// HandleProbe returns the call that probes a target on behalf of another member.
 func (t *Table) HandleProbe(now time.Time, r *membershipv1.ProbeRequest) Call {
 	if e, ok := t.entries[r.GetTarget()]; ok && e != t.self {
-		return t.call(now, CallPush, e)
+		return t.newCall(now, CallPush, e)
 	}
 	gossip := t.gossip(now, nil)
 	gossip.Sender = t.self.wire
@@ -136,8 +134,8 @@
 	}
 }
 
-// MatchesResponse reports whether an answer came from the call's target: after a
-// replacement another VM may have the address.
+// MatchesResponse reports whether the response came from the call's target, whose
+// address another VM may have after a replacement.
 func (c Call) MatchesResponse(r *membershipv1.SyncResponse) bool {
 	sender := r.GetGossip().GetSender()
 	return sender == nil || c.Target == "" || sender.GetName() == c.Target
--- a/internal/membership/call.go
+++ b/internal/membership/call.go
@@ -2,36 +2,36 @@
 
 import membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 
-// CallKind says what a call is for.
+// CallKind is the purpose of a call.
 type CallKind int
 
 // The kinds of calls.
 const (
-	// CallProbe is a heartbeat; no answer leads to indirect probes.
+	// CallProbe is a heartbeat. If it gets no response, indirect probes follow.
 	CallProbe CallKind = iota
-	// CallPush brings urgent news.
+	// CallPush sends urgent changes without waiting for the next heartbeat.
 	CallPush
-	// CallSeed goes to an address not yet known as a member.
+	// CallSeed contacts an address that is not yet known as a member.
 	CallSeed
-	// CallFullSync asks for the whole table.
+	// CallFullSync requests the whole table.
 	CallFullSync
 	// CallRegion goes from a relay to a contact in another region.
 	CallRegion
 )
 
-// Call is a message to send for the table. The caller then passes the outcome to
+// Call is a message to be sent by the table's user, who passes the outcome to
 // HandleResponse or HandleFailure.
 type Call struct {
 	Kind CallKind
-	// Target is the member's name; it may be empty for seeds and contacts.
+	// Target is the member's name, or empty if that is not known.
 	Target  string
 	Address string
 	Request *membershipv1.SyncRequest
 }
 
-// IndirectCall asks a helper to probe a target that this node cannot reach.
-// The caller calls HandleIndirectSuccess after the first success, or
-// HandleUnreachable once all have failed.
+// IndirectCall asks a helper to probe a target. The sender calls
+// HandleIndirectSuccess after the first success, or HandleUnreachable once all have
+// failed.
 type IndirectCall struct {
 	Helper  string
 	Address string
--- a/internal/membership/caller.go
+++ b/internal/membership/caller.go
@@ -11,24 +11,22 @@
 	"galenatrestle/internal/peer"
 )
 
-// Caller carries messages to peer addresses.
+// Caller sends requests to peer addresses.
 type Caller interface {
 	Sync(ctx context.Context, address string, r *membershipv1.SyncRequest) (*membershipv1.SyncResponse, error)
 	Probe(ctx context.Context, address string, r *membershipv1.ProbeRequest) (*membershipv1.ProbeResponse, error)
 }
 
-// The steps as named in errors.
 const (
 	stepSync  = "membership sync"
 	stepProbe = "membership probe"
 )
 
-// connectCaller is the Caller over the peer link.
 type connectCaller struct {
 	clients *peer.Clients
 }
 
-// NewCaller returns the Caller over the peer link.
+// NewCaller returns a Caller that uses the given peer clients.
 func NewCaller(clients *peer.Clients) Caller { return &connectCaller{clients: clients} }
 
 func (c *connectCaller) client(address string) membershipv1connect.MembershipServiceClient {
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,14 +1,13 @@
-// Package membership keeps each node's picture of the other nodes: who is
-// there, in which availability zone, how loaded, at which configuration
-// revision, and whether leaving.
+// Package membership maintains each node's view of the other nodes: their
+// availability zones, load, configuration revisions and whether they are leaving.
 //
-// Table is the pure protocol (SWIM: random probes, indirect probes, suspicion
-// before removal, refutation by incarnation, changes carried on the probes);
-// Runner drives it over connect. A node knows its own region in full and each
-// other region by a summary.
+// Table implements the SWIM protocol without I/O: random probes, indirect probes,
+// suspicion before removal, refutation by incarnation, and gossip piggybacked on
+// the probes. Runner runs a Table over connect. A node has the members of its own
+// region and a summary of each other region.
 //
-// It is soft state: it may be lost or stale at any time, and being wrong costs
-// efficiency, never a promise. It is bounded by MaxMembers members, MaxNotes
-// notes and MaxRegions summaries. In a platform outage it goes on with the
-// members it knows; only new seeds stop coming.
+// The state is soft: it may be lost or stale at any time. Errors in it cost
+// efficiency but must not affect correctness. It is limited to MaxMembers members,
+// MaxNotes notes and MaxRegions regions. During an outage of the platform the
+// known members stay; only new seeds from the platform's list are missing.
 package membership
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -8,30 +8,29 @@
 	membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 )
 
-// Short names of the wire's liveness values.
 const (
 	alive   = membershipv1.Liveness_LIVENESS_ALIVE
 	suspect = membershipv1.Liveness_LIVENESS_SUSPECT
 	dead    = membershipv1.Liveness_LIVENESS_DEAD
 )
 
-// entry is what the table holds of one member.
 type entry struct {
-	// wire is the member as sent; its fields change only through the table.
+	// wire is replaced, never modified, because messages in flight share it.
 	wire *membershipv1.Member
-	// hash is the name's xxhash, for rendezvous hashing.
+	// hash is the xxhash of the name, used for rendezvous hashing.
 	hash uint64
-	beat int64
-	// load is in steps of 1/loadSteps.
+	// statusSeq is Status.beat; a higher one is newer.
+	statusSeq int64
+	// load is in units of 1/loadSteps.
 	load     uint32
 	revision int64
-	// statusSent counts how often the status was sent on.
-	statusSent int
-	// updateLeft counts how often the change is still to be sent on.
-	updateLeft int
-	// listedLeaving is what the platform's list said last.
+	// statusTransmits is how often the status was sent.
+	statusTransmits int
+	// transmitsLeft is how often the member is still to be sent.
+	transmitsLeft int
+	// listedLeaving is the leaving state in the platform's last list.
 	listedLeaving bool
-	// deadline is when a suspect is declared dead, or a dead one forgotten.
+	// deadline is when a suspect is declared dead, or a dead member is removed.
 	deadline time.Time
 }
 
@@ -39,10 +38,9 @@
 	return &entry{wire: wire, hash: xxhash.Sum64String(wire.Name)}
 }
 
-// id is the short name used in statuses.
+// id is the short identifier used in statuses.
 func (e *entry) id() uint32 { return uint32(e.hash) }
 
-// state is the member's state as shown to other packages.
 func (e *entry) state() State {
 	switch {
 	case e.wire.Liveness == dead:
@@ -73,14 +71,14 @@
 func (e *entry) status() *membershipv1.Status {
 	return &membershipv1.Status{
 		Id:             e.id(),
-		Beat:           e.beat,
+		Beat:           e.statusSeq,
 		Load:           e.load,
 		ConfigRevision: e.revision,
 	}
 }
 
-// digest is the entry's part of the table's hash. Dead members have none, since
-// each node forgets them at its own time.
+// digest is the entry's part of the table hash. Dead members have none, since each
+// node removes them at a different time.
 func (e *entry) digest() uint64 {
 	if e.wire.Liveness == dead {
 		return 0
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -11,8 +11,8 @@
 	membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 )
 
-// callOverhead is the bytes of one unary connect call on an open HTTP/2
-// connection beyond the two messages; TestOverheadOfACall measures it.
+// callOverhead is the bytes of a unary call beyond its messages; see
+// TestCallOverhead.
 const callOverhead = 330
 
 const fleetStep = 100 * time.Millisecond
@@ -20,25 +20,23 @@
 // traffic counts what one node sent and received.
 type traffic struct{ sent, received, calls int }
 
-type event struct {
+type scheduledEvent struct {
 	at time.Time
 	do func()
 }
 
-// fleet is a set of tables joined by a transport in memory that encodes and
-// counts each message.
+// fleet connects tables in memory; it encodes each message and counts its bytes.
 type fleet struct {
-	t       testing.TB
-	now     time.Time
-	rng     *rand.Rand
-	tables  map[string]*Table
-	order   []string
-	traffic map[string]*traffic
-	later   []event
-	// lost reports whether a message between two addresses is lost.
-	lost func(from, to string) bool
-	// blocked reports whether calls from one address to another are not let
-	// through; answers to calls of the other way are.
+	t         testing.TB
+	now       time.Time
+	rng       *rand.Rand
+	tables    map[string]*Table
+	order     []string
+	traffic   map[string]*traffic
+	scheduled []scheduledEvent
+	lost      func(from, to string) bool
+	// blocked stops calls in one direction; responses to the opposite ones still
+	// pass.
 	blocked func(from, to string) bool
 }
 
@@ -56,7 +54,6 @@
 
 func nodeName(region string, i int) string { return fmt.Sprintf("%s-vm-%02d", region, i) }
 
-// add starts a node whose only seed is the given address.
 func (f *fleet) add(region string, i int, seeds ...string) *Table {
 	name := nodeName(region, i)
 	self := Member{
@@ -76,7 +73,7 @@
 	return table
 }
 
-// fill starts n nodes of a region that know only the first of them.
+// fill starts n nodes of a region whose only seed is the first of them.
 func (f *fleet) fill(region string, n int) {
 	for i := range n {
 		f.add(region, i, nodeName(region, 0))
@@ -85,20 +82,20 @@
 
 func (f *fleet) kill(name string) { delete(f.tables, name) }
 
-func (f *fleet) run(d time.Duration) {
+func (f *fleet) runFor(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.step()
 	}
 }
 
-// until runs until done, and returns how long that took.
-func (f *fleet) until(limit time.Duration, done func() bool) time.Duration {
+// runUntil returns the time until done returns true.
+func (f *fleet) runUntil(limit time.Duration, done func() bool) time.Duration {
 	f.t.Helper()
 	start := f.now
 	for !done() {
 		f.step()
 		if f.now.Sub(start) > limit {
-			f.t.Fatalf("not reached within %v", limit)
+			f.t.Fatalf("condition not met within %v", limit)
 		}
 	}
 	return f.now.Sub(start)
@@ -106,7 +103,7 @@
 
 func (f *fleet) step() {
 	f.now = f.now.Add(fleetStep)
-	f.runLater()
+	f.runScheduled()
 	for _, name := range f.order {
 		table, ok := f.tables[name]
 		if !ok {
@@ -118,12 +115,12 @@
 	}
 }
 
-func (f *fleet) runLater() {
-	due := f.later
-	f.later = nil
+func (f *fleet) runScheduled() {
+	due := f.scheduled
+	f.scheduled = nil
 	for _, e := range due {
 		if f.now.Before(e.at) {
-			f.later = append(f.later, e)
+			f.scheduled = append(f.scheduled, e)
 			continue
 		}
 		e.do()
@@ -131,7 +128,7 @@
 }
 
 func (f *fleet) after(d time.Duration, do func()) {
-	f.later = append(f.later, event{at: f.now.Add(d), do: do})
+	f.scheduled = append(f.scheduled, scheduledEvent{at: f.now.Add(d), do: do})
 }
 
 func (f *fleet) send(from string, call Call) {
@@ -165,25 +162,24 @@
 
 func (f *fleet) probe(from string, c IndirectCall) bool {
 	helper, ok := f.tables[c.Address]
-	f.count(from, c.Address, proto.Size(c.Request), 2)
+	f.recordTraffic(from, c.Address, proto.Size(c.Request), 2)
 	if !ok || f.blocked(from, c.Address) || f.lost(from, c.Address) {
 		return false
 	}
 	return f.exchange(c.Address, helper.HandleProbe(f.now, c.Request)) && !f.lost(c.Address, from)
 }
 
-// exchange carries one call there and back, through the wire's encoding.
 func (f *fleet) exchange(from string, call Call) bool {
 	request := &membershipv1.SyncRequest{}
-	size := f.carry(call.Request, request)
+	size := f.transcode(call.Request, request)
 	to, ok := f.tables[call.Address]
 	if !ok || f.blocked(from, call.Address) || f.lost(from, call.Address) {
-		f.count(from, "", size, 0)
+		f.recordTraffic(from, "", size, 0)
 		return false
 	}
 	answer := to.HandleSync(f.now, request)
 	response := &membershipv1.SyncResponse{}
-	f.count(from, call.Address, size, f.carry(answer, response))
+	f.recordTraffic(from, call.Address, size, f.transcode(answer, response))
 	if f.lost(call.Address, from) || !call.MatchesResponse(response) {
 		return false
 	}
@@ -191,7 +187,7 @@
 	return true
 }
 
-func (f *fleet) carry(from, to proto.Message) int {
+func (f *fleet) transcode(from, to proto.Message) int {
 	raw, err := proto.Marshal(from)
 	if err != nil {
 		f.t.Fatal(err)
@@ -202,17 +198,17 @@
 	return len(raw)
 }
 
-// count books a call's bytes; the overhead is split evenly between the ways.
-func (f *fleet) count(from, to string, request, response int) {
-	there, back := request+callOverhead/2, response+callOverhead/2
+// recordTraffic splits the overhead evenly between the two directions.
+func (f *fleet) recordTraffic(from, to string, request, response int) {
+	outbound, inbound := request+callOverhead/2, response+callOverhead/2
 	a := f.traffic[from]
 	a.calls++
-	a.sent += there
-	a.received += back
+	a.sent += outbound
+	a.received += inbound
 	if b, ok := f.traffic[to]; ok {
 		b.calls++
-		b.received += there
-		b.sent += back
+		b.received += outbound
+		b.sent += inbound
 	}
 }
 
@@ -222,18 +218,17 @@
 	}
 }
 
-// everyone reports whether all running nodes see the member in the state; a
-// dead one is seen in no state.
-func (f *fleet) everyone(member string, state State) bool {
+// allSee reports whether all other nodes see the member in the state.
+func (f *fleet) allSee(member string, state State) bool {
 	for name, table := range f.tables {
-		if name != member && seen(table, member) != state {
+		if name != member && stateAt(table, member) != state {
 			return false
 		}
 	}
 	return true
 }
 
-func seen(table *Table, member string) State {
+func stateAt(table *Table, member string) State {
 	for _, m := range table.Snapshot().Members() {
 		if m.Name == member {
 			return m.State
@@ -254,16 +249,15 @@
 	}
 }
 
-func (f *fleet) anyone(member string, state State) bool {
+func (f *fleet) anySees(member string, state State) bool {
 	for _, table := range f.tables {
-		if seen(table, member) == state {
+		if stateAt(table, member) == state {
 			return true
 		}
 	}
 	return false
 }
 
-// counts sums the running nodes' counts.
 func (f *fleet) counts() Counts {
 	var sum Counts
 	for _, table := range f.tables {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -7,77 +7,77 @@
 	membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 )
 
-// gossip composes what a message to a member of the own region carries. about
-// is that member's entry, or nil where it is unknown: it is told first what is
-// believed of itself, so that it can refute.
-func (t *Table) gossip(now time.Time, about *entry) *membershipv1.Gossip {
+// gossip builds the gossip of a message to a member of this region; recipient is
+// nil if unknown. It includes the recipient's entry if that is suspect, dead or
+// leaving, so that the recipient can refute it.
+func (t *Table) gossip(now time.Time, recipient *entry) *membershipv1.Gossip {
 	g := &membershipv1.Gossip{
 		Status:         t.self.status(),
-		Statuses:       t.takeStatuses(about),
+		Statuses:       t.takeStatuses(recipient),
 		Regions:        t.regions.take(maxSummaries),
 		Notes:          t.notes.take(now, maxMessageNotes),
 		TableHash:      t.hash,
 		NewestRevision: t.newestRevision,
 	}
-	if about != nil && (about.wire.Liveness != alive || about.wire.Leaving) {
-		g.Members = append(g.Members, about.wire)
+	if recipient != nil && (recipient.wire.Liveness != alive || recipient.wire.Leaving) {
+		g.Members = append(g.Members, recipient.wire)
 	}
-	g.Members = append(g.Members, t.takeUpdates(about)...)
+	g.Members = append(g.Members, t.takeUpdates(recipient)...)
 	return g
 }
 
-// takeUpdates picks the member changes least often sent.
+// takeUpdates picks the member changes with the most transmissions left.
 func (t *Table) takeUpdates(except *entry) []*membershipv1.Member {
-	var waiting []*entry
+	var pending []*entry
 	for _, e := range t.list {
-		if e.updateLeft > 0 && e != except {
-			waiting = append(waiting, e)
+		if e.transmitsLeft > 0 && e != except {
+			pending = append(pending, e)
 		}
 	}
-	if len(waiting) == 0 {
+	if len(pending) == 0 {
 		return nil
 	}
-	slices.SortFunc(waiting, func(a, b *entry) int {
-		if a.updateLeft != b.updateLeft {
-			return b.updateLeft - a.updateLeft
+	slices.SortFunc(pending, func(a, b *entry) int {
+		if a.transmitsLeft != b.transmitsLeft {
+			return b.transmitsLeft - a.transmitsLeft
 		}
 		return compareNames(a, b)
 	})
-	waiting = waiting[:min(maxUpdates, len(waiting))]
-	members := make([]*membershipv1.Member, len(waiting))
-	for i, e := range waiting {
-		e.updateLeft--
+	pending = pending[:min(maxUpdates, len(pending))]
+	members := make([]*membershipv1.Member, len(pending))
+	for i, e := range pending {
+		e.transmitsLeft--
 		members[i] = e.wire
 	}
 	return members
 }
 
-// takeStatuses picks the statuses least often sent, newest first.
+// takeStatuses picks the statuses transmitted least often.
 func (t *Table) takeStatuses(except *entry) []*membershipv1.Status {
-	limit := t.rounds()
-	var waiting []*entry
+	limit := t.gossipRounds()
+	var pending []*entry
 	for _, e := range t.list {
-		if e != t.self && e != except && e.beat > 0 && e.statusSent < limit && e.wire.Liveness != dead {
-			waiting = append(waiting, e)
+		if e != t.self && e != except && e.statusSeq > 0 && e.statusTransmits < limit && e.wire.Liveness != dead {
+			pending = append(pending, e)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *entry) int {
-		if a.statusSent != b.statusSent {
-			return a.statusSent - b.statusSent
+	slices.SortFunc(pending, func(a, b *entry) int {
+		if a.statusTransmits != b.statusTransmits {
+			return a.statusTransmits - b.statusTransmits
 		}
 		return compareNames(a, b)
 	})
-	waiting = waiting[:min(maxStatuses, len(waiting))]
-	statuses := make([]*membershipv1.Status, len(waiting))
-	for i, e := range waiting {
-		e.statusSent++
+	pending = pending[:min(maxStatuses, len(pending))]
+	statuses := make([]*membershipv1.Status, len(pending))
+	for i, e := range pending {
+		e.statusTransmits++
 		statuses[i] = e.status()
 	}
 	return statuses
 }
 
-// wholeGossip carries the whole table.
-func (t *Table) wholeGossip(now time.Time) *membershipv1.Gossip {
+// fullGossip builds gossip with the whole table.
+func (t *Table) fullGossip(now time.Time) *membershipv1.Gossip {
 	t.counts.FullSyncs++
 	g := &membershipv1.Gossip{
 		Status:         t.self.status(),
@@ -88,7 +88,7 @@
 	}
 	for _, e := range t.list {
 		g.Members = append(g.Members, e.wire)
-		if e.beat > 0 {
+		if e.statusSeq > 0 {
 			g.Statuses = append(g.Statuses, e.status())
 		}
 	}
--- a/internal/membership/instances.go
+++ b/internal/membership/instances.go
@@ -7,13 +7,13 @@
 	"galenatrestle/internal/platform"
 )
 
-// returnTime is how long the platform's list must call this node live, with no
-// sign of leaving from it or from peers, before the node serves again.
-const returnTime = time.Minute
+// resumeDelay is the time after the last report that this node is leaving before it
+// may serve again. The platform's list lags, so one live state is not enough.
+const resumeDelay = time.Minute
 
-// ApplyInstances joins the platform's lagging list of entry VMs, whose
-// addresses are peer addresses. It adds seeds and marks members as leaving; it
-// never declares a member dead.
+// ApplyInstances applies the platform's list of entry VMs, whose addresses are peer
+// addresses. The list lags, so it adds seeds and marks members as leaving, but
+// never as dead.
 func (t *Table) ApplyInstances(now time.Time, list []platform.Instance) {
 	listed := make(map[string]bool, len(list))
 	for _, instance := range list {
@@ -24,13 +24,13 @@
 		}
 		t.applyInstance(now, instance)
 	}
-	t.seeds.unlist(listed)
+	t.seeds.updateListed(listed)
 }
 
 func (t *Table) applyInstance(now time.Time, instance platform.Instance) {
 	region := t.settings.RegionByZone[instance.AvailabilityZone]
 	if region != "" && region != t.self.wire.Region {
-		t.regions.learn(region, instance.Name, instance.Address)
+		t.regions.addContact(region, instance.Name, instance.Address)
 		return
 	}
 	t.seeds.addListed(instance.Name, instance.Address)
@@ -38,24 +38,23 @@
 	if !ok {
 		return
 	}
-	begins := instance.State == platform.InstanceLeaving && !e.listedLeaving
+	startsLeaving := instance.State == platform.InstanceLeaving && !e.listedLeaving
 	e.listedLeaving = instance.State == platform.InstanceLeaving
-	if begins && !e.wire.Leaving && e.wire.Liveness != dead {
+	if startsLeaving && !e.wire.Leaving && e.wire.Liveness != dead {
 		t.change(now, e, func(m *membershipv1.Member) { m.Leaving = true })
-		t.urgent = true
+		t.pushPending = true
 	}
 }
 
-// applySelf follows the list for this node: leaving at once, and back to
-// serving once the list has called it live for returnTime, unless the node
-// itself has decided to stop.
+// applySelf marks this node as leaving at once, but clears that only after
+// resumeDelay and not after Leave.
 func (t *Table) applySelf(now time.Time, state platform.InstanceState) {
 	if state == platform.InstanceLeaving {
-		t.leavingSign = now
+		t.lastLeavingReport = now
 		t.setSelfLeaving(now, true)
 		return
 	}
-	if t.stopping || !t.self.wire.Leaving || now.Sub(t.leavingSign) < returnTime {
+	if t.leaveRequested || !t.self.wire.Leaving || now.Sub(t.lastLeavingReport) < resumeDelay {
 		return
 	}
 	t.setSelfLeaving(now, false)
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,17 +1,17 @@
 package membership
 
-// State is what a node believes of a member.
+// State is a member's state as seen by one node.
 type State string
 
 // The states of a member.
 const (
-	// StateServing members take requests and duties.
+	// StateServing members take requests and own keys.
 	StateServing State = "serving"
-	// StateSuspect members missed heartbeats; they keep what they own for now.
+	// StateSuspect members missed heartbeats, but keep the keys they own.
 	StateSuspect State = "suspect"
-	// StateLeaving members finish what they have and take nothing new.
+	// StateLeaving members finish their work and take no new work.
 	StateLeaving State = "leaving"
-	// StateDead members are gone.
+	// StateDead members did not refute a suspicion in time.
 	StateDead State = "dead"
 )
 
@@ -19,22 +19,22 @@
 type Member struct {
 	// Name is the VM's name, unique in the deployment.
 	Name string
-	// EntryAddress is where callers connect.
+	// EntryAddress is the address for clients.
 	EntryAddress string
-	// PeerAddress is where nodes connect.
+	// PeerAddress is the address for other nodes.
 	PeerAddress      string
 	AvailabilityZone string
 	Region           string
-	// Incarnation grows each time the VM starts or refutes a suspicion.
+	// Incarnation increases with each start, refutation or change of leaving.
 	Incarnation int64
 	State       State
-	// ConfigRevision is the configuration revision in force there.
+	// ConfigRevision is the revision of the active configuration.
 	ConfigRevision int64
-	// Load is the part of its slots in use, 0 to 1 and above when queueing.
+	// Load is the fraction of slots in use, above 1 when requests are queued.
 	Load float64
 }
 
-// View is the picture other packages read.
+// View is the read-only interface to the membership.
 type View interface {
 	// Self returns this node's own member.
 	Self() Member
@@ -45,8 +45,7 @@
 	Owner(key string) Member
 }
 
-// PeerAddress is the peer address of the member with the name; empty where the
-// view has none.
+// PeerAddress returns the named member's peer address, or an empty string.
 func PeerAddress(view View, name string) string {
 	for _, m := range view.Members() {
 		if m.Name == name {
--- a/internal/membership/membershiptest/net.go
+++ b/internal/membership/membershiptest/net.go
@@ -1,5 +1,4 @@
-// Package membershiptest joins members in memory for tests. It holds no state
-// but the handlers given to it.
+// Package membershiptest provides an in-memory network for tests of membership.
 package membershiptest
 
 import (
@@ -14,22 +13,22 @@
 	"galenatrestle/internal/gen/trestle/membership/v1/membershipv1connect"
 )
 
-// ErrUnreachable is what calls to an address without a handler get.
-var ErrUnreachable = errors.New("membershiptest: unreachable")
+// ErrUnreachable is returned for calls to an address without a handler.
+var ErrUnreachable = errors.New("membershiptest: no handler registered at the address")
 
-// Network carries messages between handlers by address; each message is copied as
-// on a wire. It implements membership.Caller.
+// Network delivers copies of messages to handlers by address. It implements
+// membership.Caller.
 type Network struct {
 	mu       sync.Mutex
 	handlers map[string]membershipv1connect.MembershipServiceHandler
 }
 
-// NewNetwork returns a net that reaches nobody.
+// NewNetwork returns a Network without handlers.
 func NewNetwork() *Network {
 	return &Network{handlers: make(map[string]membershipv1connect.MembershipServiceHandler)}
 }
 
-// Register makes the handler reachable under the address.
+// Register makes the handler reachable at the address.
 func (n *Network) Register(address string, h membershipv1connect.MembershipServiceHandler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -7,7 +7,6 @@
 	membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 )
 
-// mergeGossip takes in what a message carries, its sender aside.
 func (t *Table) mergeGossip(now time.Time, g *membershipv1.Gossip) {
 	for _, m := range g.GetMembers() {
 		t.mergeMember(now, m)
@@ -22,26 +21,24 @@
 	for _, n := range g.GetNotes() {
 		t.mergeNote(now, n)
 	}
-	if t.heardRevision(g.GetNewestRevision()) {
-		t.regions.tellAll = true
+	if t.mergeRevision(g.GetNewestRevision()) {
+		t.regions.notifyAll = true
 	}
 }
 
-// heardRevision notes a newer revision of the configuration and has it pushed
-// on; it reports whether it was news.
-func (t *Table) heardRevision(revision int64) bool {
+// mergeRevision records a newer revision for a push; it reports whether it was new.
+func (t *Table) mergeRevision(revision int64) bool {
 	if revision <= t.newestRevision {
 		return false
 	}
 	t.newestRevision = revision
 	t.version++
-	t.urgent = true
+	t.pushPending = true
 	return true
 }
 
-// mergeMember takes in what a peer says of a member. A higher incarnation
-// replaces what is known; at the same one the worse liveness wins and leaving
-// stays; a lower one is old news.
+// mergeMember merges a peer's record of a member: a higher incarnation replaces the
+// entry; at the same one the worse liveness and leaving win.
 func (t *Table) mergeMember(now time.Time, m *membershipv1.Member) {
 	if m.GetName() == "" || m.GetRegion() != t.self.wire.Region {
 		return
@@ -57,7 +54,7 @@
 	case m.Incarnation > e.wire.Incarnation:
 		t.replace(now, e, m)
 	case m.Incarnation == e.wire.Incarnation:
-		t.worsen(now, e, m)
+		t.mergeSameIncarnation(now, e, m)
 	}
 }
 
@@ -68,25 +65,24 @@
 	e := newEntry(m)
 	t.add(e)
 	t.setDeadline(now, e)
-	t.spread(now, e)
-	t.urgent = true
+	t.scheduleUpdate(now, e)
+	t.pushPending = true
 }
 
 func (t *Table) replace(now time.Time, e *entry, m *membershipv1.Member) {
 	t.hash ^= e.digest()
 	if m.Leaving != e.wire.Leaving || m.Liveness != e.wire.Liveness {
-		t.urgent = true
+		t.pushPending = true
 	}
 	e.wire = m
 	t.hash ^= e.digest()
 	t.setDeadline(now, e)
-	t.spread(now, e)
+	t.scheduleUpdate(now, e)
 }
 
-// worsen joins two opinions of the same incarnation.
-func (t *Table) worsen(now time.Time, e *entry, m *membershipv1.Member) {
-	leaves := m.Leaving && !e.wire.Leaving
-	if m.Liveness <= e.wire.Liveness && !leaves {
+func (t *Table) mergeSameIncarnation(now time.Time, e *entry, m *membershipv1.Member) {
+	startsLeaving := m.Leaving && !e.wire.Leaving
+	if m.Liveness <= e.wire.Liveness && !startsLeaving {
 		return
 	}
 	worse := m.Liveness > e.wire.Liveness
@@ -94,59 +90,57 @@
 		next.Liveness = max(next.Liveness, m.Liveness)
 		next.Leaving = next.Leaving || m.Leaving
 	})
-	t.urgent = true
+	t.pushPending = true
 	if worse {
 		t.setDeadline(now, e)
 	}
 }
 
-// setDeadline starts the time that a member's new liveness allows.
 func (t *Table) setDeadline(now time.Time, e *entry) {
 	switch e.wire.Liveness {
 	case suspect:
 		t.counts.Suspicions++
-		e.deadline = now.Add(t.suspicionTime())
+		e.deadline = now.Add(t.suspicionTimeout())
 	case dead:
 		t.counts.Deaths++
-		e.deadline = now.Add(tombstoneTime)
+		e.deadline = now.Add(tombstoneTTL)
 		t.seeds.addDead(now, e.wire.Name, e.wire.PeerAddress)
 	default:
 		e.deadline = time.Time{}
 	}
 }
 
-// suspicionTime grows with the members' number, since a refutation needs more
-// rounds, and with the doubt in this node's own link.
-func (t *Table) suspicionTime() time.Duration {
+// suspicionTimeout grows with the number of members, as a refutation needs more
+// rounds, and with this node's failed probes, as its own link may be at fault.
+func (t *Table) suspicionTimeout() time.Duration {
 	scale := max(1, math.Log10(float64(len(t.entries))))
 	return time.Duration(float64(t.settings.SuspicionTimeout) * scale * float64(1+t.awareness))
 }
 
-// mergeSelf answers what others say of this node: a doubt is refuted by a
-// higher incarnation, and the platform's word that it is leaving, brought by a
-// peer, is adopted.
+// mergeSelf refutes suspicion, or an incarnation from before a restart, with a
+// higher one. It accepts a report that this node is leaving.
 func (t *Table) mergeSelf(now time.Time, m *membershipv1.Member) {
 	own := t.self.wire
 	if m.Incarnation < own.Incarnation {
 		return
 	}
-	hinted := m.Leaving && m.Incarnation == own.Incarnation && !own.Leaving
-	doubted := m.Liveness != alive
-	earlierLife := m.Incarnation > own.Incarnation
-	if !hinted && !doubted && !earlierLife {
+	reportedLeaving := m.Leaving && m.Incarnation == own.Incarnation && !own.Leaving
+	suspected := m.Liveness != alive
+	staleIncarnation := m.Incarnation > own.Incarnation
+	if !reportedLeaving && !suspected && !staleIncarnation {
 		return
 	}
-	t.urgent = true
-	if doubted {
+	t.pushPending = true
+	if suspected {
 		t.counts.Refutations++
 	}
-	if hinted {
-		t.leavingSign = now
+	if reportedLeaving {
+		t.lastLeavingReport = now
 	}
-	t.self.beat = max(t.self.beat, m.Incarnation)
+	t.self.statusSeq = max(t.self.statusSeq, m.Incarnation)
 	t.change(now, t.self, func(next *membershipv1.Member) {
 		next.Incarnation = m.Incarnation + 1
-		next.Leaving = next.Leaving || hinted
+		next.Leaving = next.Leaving || reportedLeaving
 	})
 }
 
@@ -154,16 +148,16 @@
 	if s == nil {
 		return
 	}
-	if t.heardRevision(s.ConfigRevision) {
-		t.regions.tellAll = true
+	if t.mergeRevision(s.ConfigRevision) {
+		t.regions.notifyAll = true
 	}
 	e, ok := t.byID[s.Id]
-	if !ok || e == t.self || s.Beat <= e.beat {
+	if !ok || e == t.self || s.Beat <= e.statusSeq {
 		return
 	}
-	e.beat = s.Beat
+	e.statusSeq = s.Beat
 	e.load = s.Load
 	e.revision = s.ConfigRevision
-	e.statusSent = 0
+	e.statusTransmits = 0
 	t.version++
 }
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Register exports the runner's counts and the members by state.
+// Register exports the protocol's event counts and the number of members by state.
 func (r *Runner) Register(registerer prometheus.Registerer) {
 	events := []struct {
 		name, help string
--- a/internal/membership/notes.go
+++ b/internal/membership/notes.go
@@ -8,69 +8,66 @@
 	membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 )
 
-// Errors of Publish.
 var (
-	// ErrNoteTooLarge says that a note's value is over MaxNoteBytes.
-	ErrNoteTooLarge = errors.New("membership: note too large")
-	// ErrTooManyNotes says that MaxNotes are held.
-	ErrTooManyNotes = errors.New("membership: too many notes")
+	// ErrNoteTooLarge means that the value is longer than MaxNoteBytes.
+	ErrNoteTooLarge = errors.New("membership: note value exceeds the size limit")
+	// ErrTooManyNotes means that the table has MaxNotes unexpired notes.
+	ErrTooManyNotes = errors.New("membership: note table is full")
 )
 
-// noteKey is what a note is about.
 type noteKey struct{ kind, key string }
 
 type noteEntry struct {
-	wire *membershipv1.Note
-	left int
+	wire          *membershipv1.Note
+	transmitsLeft int
 }
 
-// noteTable holds the newest note of each key until it expires.
+// noteTable stores the newest note of each key until it expires.
 type noteTable struct {
 	entries map[noteKey]*noteEntry
-	// fresh are notes from peers not yet given to their package.
-	fresh []*membershipv1.Note
+	// undelivered are notes from peers for the next TakeNotes.
+	undelivered []*membershipv1.Note
 }
 
 func newNoteTable() *noteTable {
 	return &noteTable{entries: make(map[noteKey]*noteEntry)}
 }
 
-// Publish spreads a note to all members of the region at once. A note of a
-// lower or the same version than one known is dropped.
+// Publish sends a note to all members of the region. A note whose version is not
+// higher than the known one is dropped.
 func (t *Table) Publish(now time.Time, n *membershipv1.Note) error {
 	if len(n.Value) > MaxNoteBytes {
 		return ErrNoteTooLarge
 	}
-	if !t.notes.room(now) {
+	if !t.notes.hasRoom(now) {
 		return ErrTooManyNotes
 	}
-	if t.notes.merge(now, n, t.transmissions()) {
-		t.urgent = true
+	if t.notes.merge(now, n, t.retransmitLimit()) {
+		t.pushPending = true
 	}
 	return nil
 }
 
-// TakeNotes returns the notes that came from peers since the last call.
+// TakeNotes returns the notes received from peers since the last call.
 func (t *Table) TakeNotes() []*membershipv1.Note {
-	fresh := t.notes.fresh
-	t.notes.fresh = nil
-	return fresh
+	taken := t.notes.undelivered
+	t.notes.undelivered = nil
+	return taken
 }
 
 func (t *Table) mergeNote(now time.Time, n *membershipv1.Note) {
-	if len(n.GetValue()) > MaxNoteBytes || !t.notes.room(now) {
+	if len(n.GetValue()) > MaxNoteBytes || !t.notes.hasRoom(now) {
 		return
 	}
-	if !t.notes.merge(now, n, t.transmissions()) {
+	if !t.notes.merge(now, n, t.retransmitLimit()) {
 		return
 	}
-	t.notes.fresh = append(t.notes.fresh, n)
-	t.urgent = true
+	t.notes.undelivered = append(t.notes.undelivered, n)
+	t.pushPending = true
 }
 
-// room reports whether one more note may be held; it forgets expired ones
-// where the table is full.
-func (l *noteTable) room(now time.Time) bool {
+// hasRoom reports whether a note fits, after removing expired ones if necessary.
+func (l *noteTable) hasRoom(now time.Time) bool {
 	if len(l.entries) < MaxNotes {
 		return true
 	}
@@ -82,7 +79,7 @@
 	return len(l.entries) < MaxNotes
 }
 
-func (l *noteTable) merge(now time.Time, n *membershipv1.Note, transmissions int) bool {
+func (l *noteTable) merge(now time.Time, n *membershipv1.Note, transmits int) bool {
 	if expired(now, n) {
 		return false
 	}
@@ -90,34 +87,32 @@
 	if old, ok := l.entries[key]; ok && old.wire.Version >= n.Version {
 		return false
 	}
-	l.entries[key] = &noteEntry{wire: n, left: transmissions}
+	l.entries[key] = &noteEntry{wire: n, transmitsLeft: transmits}
 	return true
 }
 
-// take picks the notes least often sent.
 func (l *noteTable) take(now time.Time, n int) []*membershipv1.Note {
-	var waiting []*noteEntry
+	var pending []*noteEntry
 	for _, e := range l.entries {
-		if e.left > 0 && !expired(now, e.wire) {
-			waiting = append(waiting, e)
+		if e.transmitsLeft > 0 && !expired(now, e.wire) {
+			pending = append(pending, e)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *noteEntry) int {
-		if a.left != b.left {
-			return b.left - a.left
+	slices.SortFunc(pending, func(a, b *noteEntry) int {
+		if a.transmitsLeft != b.transmitsLeft {
+			return b.transmitsLeft - a.transmitsLeft
 		}
 		return compareStrings(a.wire.Kind+a.wire.Key, b.wire.Kind+b.wire.Key)
 	})
-	waiting = waiting[:min(n, len(waiting))]
+	pending = pending[:min(n, len(pending))]
 	var notes []*membershipv1.Note
-	for _, e := range waiting {
-		e.left--
+	for _, e := range pending {
+		e.transmitsLeft--
 		notes = append(notes, e.wire)
 	}
 	return notes
 }
 
-// all returns every note in force.
 func (l *noteTable) all(now time.Time) []*membershipv1.Note {
 	var notes []*membershipv1.Note
 	for _, e := range l.entries {
--- a/internal/membership/overhead_test.go
+++ b/internal/membership/overhead_test.go
@@ -18,9 +18,8 @@
 	"galenatrestle/internal/peer"
 )
 
-// TestOverheadOfACall measures on loopback what a unary call costs beyond its
-// messages, once the connection is open, and holds callOverhead to it.
-func TestOverheadOfACall(t *testing.T) {
+// TestCallOverhead checks callOverhead on an open loopback connection.
+func TestCallOverhead(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	keys, err := peer.NewKeys(peer.KeyFiles{}, registry)
 	if err != nil {
@@ -64,7 +63,7 @@
 	}
 	perCall := float64(bytes.Load()-messages) / calls
 	const tcpAndTLS = 2 * (40 + 22) * 1.5
-	t.Logf("measured %.0f bytes a call above the messages in HTTP/2, about %.0f with TCP and TLS records", perCall, perCall+tcpAndTLS)
+	t.Logf("measured %.0f bytes per call beyond the messages in HTTP/2, about %.0f with TCP and TLS records", perCall, perCall+tcpAndTLS)
 	if total := perCall + tcpAndTLS; total > callOverhead || total < callOverhead/2 {
 		t.Errorf("callOverhead is %d, measured %.0f", callOverhead, total)
 	}
--- a/internal/membership/regions.go
+++ b/internal/membership/regions.go
@@ -9,28 +9,26 @@
 	membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 )
 
-// regionEntry is what is known of one region.
 type regionEntry struct {
 	summary *membershipv1.RegionSummary
-	// left counts how often the summary is still to be sent on.
-	left int
-	// heard is when the summary came in.
-	heard time.Time
-	// learned holds contacts from seeds, by name.
-	learned map[string]string
+	// transmitsLeft is how often the summary is still to be sent.
+	transmitsLeft int
+	receivedAt    time.Time
+	// extraContacts are peer addresses from elsewhere than the summary, by name.
+	extraContacts map[string]string
 }
 
-// regionTable holds the summaries of all regions, the own one included.
+// regionTable has the summaries of all regions, including this one.
 type regionTable struct {
-	own     string
-	entries map[string]*regionEntry
-	next    time.Time
-	// tellAll says that news of the own region must not wait for next.
-	tellAll bool
+	ownRegion    string
+	entries      map[string]*regionEntry
+	nextExchange time.Time
+	// notifyAll requests calls to all regions before nextExchange.
+	notifyAll bool
 }
 
 func newRegionTable(own string) *regionTable {
-	return &regionTable{own: own, entries: make(map[string]*regionEntry)}
+	return &regionTable{ownRegion: own, entries: make(map[string]*regionEntry)}
 }
 
 func (r *regionTable) entry(region string) *regionEntry {
@@ -41,59 +39,57 @@
 	if len(r.entries) >= MaxRegions {
 		return nil
 	}
-	e = &regionEntry{learned: make(map[string]string)}
+	e = &regionEntry{extraContacts: make(map[string]string)}
 	r.entries[region] = e
 	return e
 }
 
-// learn adds a contact that did not come with a summary.
-func (r *regionTable) learn(region, name, address string) {
+// addContact adds a contact that is not from a summary, up to maxContacts.
+func (r *regionTable) addContact(region, name, address string) {
 	e := r.entry(region)
 	if e == nil {
 		return
 	}
-	if _, ok := e.learned[name]; !ok && len(e.learned) >= maxContacts {
+	if _, ok := e.extraContacts[name]; !ok && len(e.extraContacts) >= maxContacts {
 		return
 	}
-	e.learned[name] = address
+	e.extraContacts[name] = address
 }
 
-// merge takes a summary in if it is newer; it reports whether it was.
-func (r *regionTable) merge(now time.Time, s *membershipv1.RegionSummary, transmissions int) bool {
+// merge stores a summary if it is newer, and reports whether it did.
+func (r *regionTable) merge(now time.Time, s *membershipv1.RegionSummary, transmits int) bool {
 	e := r.entry(s.GetRegion())
 	if e == nil || s.GetVersion() <= e.summary.GetVersion() {
 		return false
 	}
 	e.summary = s
-	e.left = transmissions
-	e.heard = now
+	e.transmitsLeft = transmits
+	e.receivedAt = now
 	return true
 }
 
-// take picks the summaries least often sent.
 func (r *regionTable) take(n int) []*membershipv1.RegionSummary {
-	var waiting []*regionEntry
+	var pending []*regionEntry
 	for _, e := range r.entries {
-		if e.left > 0 && e.summary != nil {
-			waiting = append(waiting, e)
+		if e.transmitsLeft > 0 && e.summary != nil {
+			pending = append(pending, e)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *regionEntry) int {
-		if a.left != b.left {
-			return b.left - a.left
+	slices.SortFunc(pending, func(a, b *regionEntry) int {
+		if a.transmitsLeft != b.transmitsLeft {
+			return b.transmitsLeft - a.transmitsLeft
 		}
 		return compareStrings(a.summary.Region, b.summary.Region)
 	})
-	waiting = waiting[:min(n, len(waiting))]
+	pending = pending[:min(n, len(pending))]
 	var summaries []*membershipv1.RegionSummary
-	for _, e := range waiting {
-		e.left--
+	for _, e := range pending {
+		e.transmitsLeft--
 		summaries = append(summaries, e.summary)
 	}
 	return summaries
 }
 
-// all returns every summary, ordered by region.
 func (r *regionTable) all() []*membershipv1.RegionSummary {
 	var summaries []*membershipv1.RegionSummary
 	for _, name := range r.names() {
@@ -113,35 +109,33 @@
 	return names
 }
 
-// contacts returns the known contacts of a region, those of its summary first.
 func (r *regionTable) contacts(region string) []*membershipv1.Contact {
 	e := r.entries[region]
 	contacts := slices.Clone(e.summary.GetContacts())
-	for name, address := range e.learned {
+	for name, address := range e.extraContacts {
 		contacts = append(contacts, &membershipv1.Contact{Name: name, PeerAddress: address})
 	}
 	slices.SortFunc(contacts, func(a, b *membershipv1.Contact) int { return compareStrings(a.PeerAddress, b.PeerAddress) })
 	return slices.CompactFunc(contacts, func(a, b *membershipv1.Contact) bool { return proto.Equal(a, b) })
 }
 
-// expire forgets summaries that were not renewed, but keeps their contacts.
+// expire removes summaries not renewed for summaryTTL, but keeps their contacts.
 func (r *regionTable) expire(now time.Time) {
 	for name, e := range r.entries {
-		if e.summary == nil || name == r.own || now.Sub(e.heard) < summaryTime {
+		if e.summary == nil || name == r.ownRegion || now.Sub(e.receivedAt) < summaryTTL {
 			continue
 		}
 		for _, c := range e.summary.Contacts {
-			r.learn(name, c.Name, c.PeerAddress)
+			r.addContact(name, c.Name, c.PeerAddress)
 		}
 		e.summary = nil
 	}
 }
 
-// view returns the other regions for a snapshot, ordered by name.
 func (r *regionTable) view() []Region {
 	var regions []Region
 	for _, s := range r.all() {
-		if s.Region == r.own {
+		if s.Region == r.ownRegion {
 			continue
 		}
 		region := Region{
--- a/internal/membership/relay.go
+++ b/internal/membership/relay.go
@@ -8,37 +8,35 @@
 	membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 )
 
-// relayKey is the key whose owners speak for the region.
+// relayKey is the key whose first maxContacts owners are the region's relays.
 const relayKey = "relay"
 
-// tickRegion lets the region's relays compose its summary and exchange
-// summaries with another region.
+// tickRegion runs on relays: the first one summarizes this region, and each
+// exchanges summaries with other regions.
 func (t *Table) tickRegion(now time.Time) []Call {
-	tellAll := t.regions.tellAll
-	t.regions.tellAll = false
-	if now.Before(t.regions.next) && !tellAll {
+	notifyAll := t.regions.notifyAll
+	t.regions.notifyAll = false
+	if now.Before(t.regions.nextExchange) && !notifyAll {
 		return nil
 	}
 	interval := t.settings.RegionInterval
-	t.regions.next = now.Add(interval*9/10 + t.jitter(interval/5))
+	t.regions.nextExchange = now.Add(interval*9/10 + t.jitter(interval/5))
 	relays := t.Snapshot().Owners(relayKey, maxContacts)
-	place := -1
+	position := -1
 	for i, m := range relays {
 		if m.Name == t.self.wire.Name {
-			place = i
+			position = i
 		}
 	}
-	if place < 0 {
+	if position < 0 {
 		return nil
 	}
-	if place == 0 {
+	if position == 0 {
 		t.composeSummary(now, relays)
 	}
-	return t.callRegions(tellAll && place == 0)
+	return t.callRegions(notifyAll && position == 0)
 }
 
-// composeSummary makes a new summary of the own region where the old one says
-// something else or has become old.
 func (t *Table) composeSummary(now time.Time, relays []Member) {
 	s := t.summarize(relays)
 	old := t.regions.entry(s.Region)
@@ -47,25 +45,24 @@
 	}
 	age := now.Sub(time.UnixMilli(old.summary.GetVersion()))
 	s.Version = old.summary.GetVersion()
-	if age < summaryRefresh && alike(s, old.summary) {
+	if age < summaryRefresh && equivalent(s, old.summary) {
 		return
 	}
 	s.Version = max(now.UnixMilli(), s.Version+1)
-	t.regions.merge(now, s, t.rounds())
+	t.regions.merge(now, s, t.gossipRounds())
 }
 
-// alike reports whether two summaries differ only in what may wait for the
-// next refresh: little in load, and the revision, which every message carries
-// as the newest one heard of.
-func alike(s, old *membershipv1.RegionSummary) bool {
+// equivalent ignores differences that may wait for the next refresh: small ones in
+// load, and the revision, which every message carries as newest_revision.
+func equivalent(s, old *membershipv1.RegionSummary) bool {
 	load, oldLoad := s.GetLoad(), old.GetLoad()
-	if max(load, oldLoad)-min(load, oldLoad) >= summaryLoadChange {
+	if max(load, oldLoad)-min(load, oldLoad) >= minSummaryLoadChange {
 		return false
 	}
-	same := proto.CloneOf(s)
-	same.Load = oldLoad
-	same.ConfigRevision = old.GetConfigRevision()
-	return proto.Equal(same, old)
+	normalized := proto.CloneOf(s)
+	normalized.Load = oldLoad
+	normalized.ConfigRevision = old.GetConfigRevision()
+	return proto.Equal(normalized, old)
 }
 
 func (t *Table) summarize(relays []Member) *membershipv1.RegionSummary {
@@ -91,12 +88,11 @@
 	return s
 }
 
-// callRegions calls one random other region, or each of them, which the first
-// relay does at once for news.
+// callRegions calls one random other region, or all for urgent changes.
 func (t *Table) callRegions(all bool) []Call {
 	var others []string
 	for _, name := range t.regions.names() {
-		if name != t.regions.own && len(t.regions.contacts(name)) > 0 {
+		if name != t.regions.ownRegion && len(t.regions.contacts(name)) > 0 {
 			others = append(others, name)
 		}
 	}
@@ -118,7 +114,6 @@
 	return calls
 }
 
-// regionGossip is what goes to another region.
 func (t *Table) regionGossip() *membershipv1.Gossip {
 	return &membershipv1.Gossip{
 		Sender:         t.self.wire,
@@ -127,33 +122,33 @@
 	}
 }
 
-func (t *Table) handleRegion(now time.Time, r *membershipv1.SyncRequest) *membershipv1.SyncResponse {
+func (t *Table) handleRegionSync(now time.Time, r *membershipv1.SyncRequest) *membershipv1.SyncResponse {
 	gossip := r.GetGossip()
-	t.mergeForeign(now, gossip)
+	t.mergeRegionGossip(now, gossip)
 	return &membershipv1.SyncResponse{Gossip: t.regionGossip()}
 }
 
-func (t *Table) answeredRegion(now time.Time, c Call, gossip *membershipv1.Gossip) {
-	t.seeds.answered(c.Address)
-	t.mergeForeign(now, gossip)
+func (t *Table) handleRegionResponse(now time.Time, c Call, gossip *membershipv1.Gossip) {
+	t.seeds.remove(c.Address)
+	t.mergeRegionGossip(now, gossip)
 }
 
-func (t *Table) mergeForeign(now time.Time, gossip *membershipv1.Gossip) {
+func (t *Table) mergeRegionGossip(now time.Time, gossip *membershipv1.Gossip) {
 	sender := gossip.GetSender()
 	if sender.GetRegion() == "" {
 		return
 	}
-	t.regions.learn(sender.GetRegion(), sender.GetName(), sender.GetPeerAddress())
+	t.regions.addContact(sender.GetRegion(), sender.GetName(), sender.GetPeerAddress())
 	for _, s := range gossip.GetRegions() {
 		t.mergeRegion(now, s)
 	}
-	t.heardRevision(gossip.GetNewestRevision())
+	t.mergeRevision(gossip.GetNewestRevision())
 }
 
 func (t *Table) mergeRegion(now time.Time, s *membershipv1.RegionSummary) {
-	if s.GetRegion() == "" || !t.regions.merge(now, s, t.rounds()) {
+	if s.GetRegion() == "" || !t.regions.merge(now, s, t.gossipRounds()) {
 		return
 	}
-	t.heardRevision(s.GetConfigRevision())
+	t.mergeRevision(s.GetConfigRevision())
 	t.version++
 }
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -7,8 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// mix is the finalizer of splitmix64: it spreads the bits of two hashes that
-// were joined by exclusive or.
+// mix is the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -17,14 +16,12 @@
 	return x ^ x>>31
 }
 
-// candidate is a serving member with its name's hash.
 type candidate struct {
 	hash  uint64
 	index int
 }
 
-// rank returns the indexes of the n candidates that come first for the key by
-// rendezvous hashing (highest random weight).
+// rank returns the indexes of the n highest-ranked candidates for the key.
 func rank(candidates []candidate, key string, n int) []int {
 	type scored struct {
 		score uint64
@@ -49,9 +46,8 @@
 	return ranked
 }
 
-// first returns the index of the candidate that owns the key, or -1. It does
-// the same as rank with n = 1 and allocates nothing.
-func first(candidates []candidate, key string) int {
+// topRanked equals rank with n = 1 but does not allocate; it returns -1 for none.
+func topRanked(candidates []candidate, key string) int {
 	keyHash := xxhash.Sum64String(key)
 	best, bestScore := -1, uint64(0)
 	for _, c := range candidates {
--- a/internal/membership/rendezvous_test.go
+++ b/internal/membership/rendezvous_test.go
@@ -21,7 +21,7 @@
 	const keys = 60 * 350
 	owned := make([]int, 60)
 	for i := range keys {
-		owned[first(candidates(60), fmt.Sprintf("replica-%d", i))]++
+		owned[topRanked(candidates(60), fmt.Sprintf("replica-%d", i))]++
 	}
 	for i, n := range owned {
 		if n < 350*7/10 || n > 350*13/10 {
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestRankIsStable: the owner is the first of the ranking, and a member that
-// goes moves only its own keys, each to the next of the ranking.
+// TestRankIsStable checks that removing a member moves only its own keys, each to
+// the next member of the ranking.
 func TestRankIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 60).Draw(t, "members")
@@ -39,15 +39,15 @@
 		gone := rapid.IntRange(0, n-1).Draw(t, "gone")
 		all := candidates(n)
 		ranked := rank(all, key, n)
-		if owner := first(all, key); owner != ranked[0] {
-			t.Fatalf("owner %d is not the first of the ranking %v", owner, ranked)
+		if owner := topRanked(all, key); owner != ranked[0] {
+			t.Fatalf("owner %d is not the first of ranking %v", owner, ranked)
 		}
 		want := ranked[0]
 		if want == gone {
 			want = ranked[1]
 		}
 		rest := append(all[:gone:gone], all[gone+1:]...)
-		if owner := first(rest, key); owner != want {
+		if owner := topRanked(rest, key); owner != want {
 			t.Fatalf("without %d the owner is %d, want %d", gone, owner, want)
 		}
 	})
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -15,40 +15,38 @@
 	"galenatrestle/internal/platform"
 )
 
-// tickInterval is how often the runner asks the table what is due.
 const tickInterval = 100 * time.Millisecond
 
-// maxCalls bounds the runner's calls under way.
 const maxCalls = 64
 
-// Runner drives a Table: it sends its messages, serves those of peers and
-// publishes its snapshots. It implements View and is safe for concurrent use.
+// Runner runs a Table: it sends the table's calls, serves the calls of peers and
+// publishes snapshots. It implements View and is safe for concurrent use.
 type Runner struct {
-	caller   Caller
-	timeout  time.Duration
-	snapshot atomic.Pointer[Snapshot]
-	slots    chan struct{}
-	calls    sync.WaitGroup
+	caller    Caller
+	timeout   time.Duration
+	snapshot  atomic.Pointer[Snapshot]
+	callSlots chan struct{}
+	calls     sync.WaitGroup
 
-	mu    sync.Mutex
-	table *Table
-	notes map[string]func(*membershipv1.Note)
+	mu            sync.Mutex
+	table         *Table
+	noteReceivers map[string]func(*membershipv1.Note)
 }
 
-// NewRunner returns a runner that is not yet running.
+// NewRunner returns a Runner; call Run to start it.
 func NewRunner(self Member, settings Settings, caller Caller, rng *rand.Rand) *Runner {
 	r := &Runner{
-		caller:  caller,
-		timeout: settings.withDefaults().ProbeTimeout,
-		slots:   make(chan struct{}, maxCalls),
-		table:   NewTable(self, settings, rng, time.Now()),
-		notes:   make(map[string]func(*membershipv1.Note)),
+		caller:        caller,
+		timeout:       settings.withDefaults().ProbeTimeout,
+		callSlots:     make(chan struct{}, maxCalls),
+		table:         NewTable(self, settings, rng, time.Now()),
+		noteReceivers: make(map[string]func(*membershipv1.Note)),
 	}
 	r.snapshot.Store(r.table.Snapshot())
 	return r
 }
 
-// Run sends heartbeats until ctx ends, and returns after the last call has.
+// Run sends heartbeats until ctx is done, and returns when the last call has ended.
 func (r *Runner) Run(ctx context.Context) error {
 	defer r.calls.Wait()
 	ticker := time.NewTicker(tickInterval)
@@ -60,12 +58,12 @@
 		case <-ticker.C:
 		}
 		for _, call := range r.tick() {
-			r.start(func() { r.send(ctx, call) })
+			r.startCall(func() { r.send(ctx, call) })
 		}
 	}
 }
 
-// View returns the current picture.
+// View returns the current snapshot.
 func (r *Runner) View() *Snapshot { return r.snapshot.Load() }
 
 // Self implements View.
@@ -85,10 +83,10 @@
 	r.update(func(now time.Time) { r.table.SetStatus(now, load, revision) })
 }
 
-// Leave marks this node as leaving; peers are told within a tick.
+// Leave marks this node as leaving; peers are notified within a tick.
 func (r *Runner) Leave() { r.update(func(now time.Time) { r.table.Leave(now) }) }
 
-// CancelLeave takes a Leave back.
+// CancelLeave reverts Leave; see Table.CancelLeave.
 func (r *Runner) CancelLeave() { r.update(func(now time.Time) { r.table.CancelLeave(now) }) }
 
 // AddSeed adds a peer address from the settings.
@@ -96,46 +94,46 @@
 	r.update(func(time.Time) { r.table.AddSeed(address) })
 }
 
-// ApplyInstances joins the platform's list of entry VMs.
+// ApplyInstances applies the platform's list of entry VMs.
 func (r *Runner) ApplyInstances(list []platform.Instance) {
 	r.update(func(now time.Time) { r.table.ApplyInstances(now, list) })
 }
 
-// Publish spreads a note to all members of the region.
+// Publish sends a note to all members of the region.
 func (r *Runner) Publish(n *membershipv1.Note) error {
 	var err error
 	r.update(func(now time.Time) { err = r.table.Publish(now, n) })
 	return err
 }
 
-// OnNote has notes of a kind that come from peers given to receive, which must
-// not block. It is called before Run.
+// OnNote registers a receiver, which must not block, for notes of one kind from
+// peers. It must be called before Run.
 func (r *Runner) OnNote(kind string, receive func(*membershipv1.Note)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.notes[kind] = receive
+	r.noteReceivers[kind] = receive
 }
 
-// Counts returns the protocol's events since the start.
+// Counts returns the protocol's event counts since the start.
 func (r *Runner) Counts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Counts()
 }
 
-// Handler returns the path and handler to mount on the peer listener.
+// Handler returns the path and the handler to mount on the peer listener.
 func (r *Runner) Handler() (string, http.Handler) {
 	return membershipv1connect.NewMembershipServiceHandler(r)
 }
 
-// Sync implements the peer service.
+// Sync implements MembershipServiceHandler.
 func (r *Runner) Sync(_ context.Context, request *connect.Request[membershipv1.SyncRequest]) (*connect.Response[membershipv1.SyncResponse], error) {
 	var response *membershipv1.SyncResponse
 	r.update(func(now time.Time) { response = r.table.HandleSync(now, request.Msg) })
 	return connect.NewResponse(response), nil
 }
 
-// Probe implements the peer service: it probes a member for another.
+// Probe implements MembershipServiceHandler: it probes a member for another.
 func (r *Runner) Probe(ctx context.Context, request *connect.Request[membershipv1.ProbeRequest]) (*connect.Response[membershipv1.ProbeResponse], error) {
 	var call Call
 	r.update(func(now time.Time) { call = r.table.HandleProbe(now, request.Msg) })
@@ -149,15 +147,15 @@
 	return calls
 }
 
-// update runs f on the table, publishes the snapshot and hands out notes.
+// update runs f under the lock, publishes the snapshot and delivers new notes.
 func (r *Runner) update(f func(now time.Time)) {
 	r.mu.Lock()
 	f(time.Now())
 	r.snapshot.Store(r.table.Snapshot())
-	fresh := r.table.TakeNotes()
-	receivers := r.receivers(fresh)
+	notes := r.table.TakeNotes()
+	receivers := r.receivers(notes)
 	r.mu.Unlock()
-	for i, n := range fresh {
+	for i, n := range notes {
 		if receivers[i] != nil {
 			receivers[i](n)
 		}
@@ -167,26 +165,25 @@
 func (r *Runner) receivers(notes []*membershipv1.Note) []func(*membershipv1.Note) {
 	receivers := make([]func(*membershipv1.Note), len(notes))
 	for i, n := range notes {
-		receivers[i] = r.notes[n.Kind]
+		receivers[i] = r.noteReceivers[n.Kind]
 	}
 	return receivers
 }
 
-// start runs f on its own goroutine, unless too many are under way.
-func (r *Runner) start(f func()) {
+// startCall runs f on its own goroutine, or drops it if maxCalls are running.
+func (r *Runner) startCall(f func()) {
 	select {
-	case r.slots <- struct{}{}:
+	case r.callSlots <- struct{}{}:
 	default:
 		return
 	}
 	r.calls.Go(func() {
-		defer func() { <-r.slots }()
+		defer func() { <-r.callSlots }()
 		f()
 	})
 }
 
-// send makes one call and, where it is a heartbeat without answer, the
-// indirect probes.
+// send makes one call and, if a heartbeat fails, the indirect probes.
 func (r *Runner) send(ctx context.Context, call Call) {
 	if r.exchange(ctx, call) || ctx.Err() != nil {
 		return
@@ -196,7 +193,7 @@
 	if len(indirect) == 0 {
 		return
 	}
-	reached := r.probeThrough(ctx, indirect)
+	reached := r.probeIndirectly(ctx, indirect)
 	if ctx.Err() != nil {
 		return
 	}
@@ -209,7 +206,7 @@
 	})
 }
 
-// exchange makes one call and reports whether its target answered.
+// exchange makes one call and reports whether its target responded.
 func (r *Runner) exchange(ctx context.Context, call Call) bool {
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
@@ -221,9 +218,8 @@
 	return true
 }
 
-// probeThrough asks all helpers at once and reports whether one reached the
-// target.
-func (r *Runner) probeThrough(ctx context.Context, calls []IndirectCall) bool {
+// probeIndirectly reports whether one of the helpers reached the target.
+func (r *Runner) probeIndirectly(ctx context.Context, calls []IndirectCall) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*r.timeout)
 	defer cancel()
 	results := make(chan bool, len(calls))
--- a/internal/membership/runner_test.go
+++ b/internal/membership/runner_test.go
@@ -12,7 +12,7 @@
 	"galenatrestle/internal/membership/membershiptest"
 )
 
-func TestRunnersJoinSpreadAndNoticeDeath(t *testing.T) {
+func TestRunnersJoinGossipAndDetectDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		net := membershiptest.NewNetwork()
@@ -45,7 +45,7 @@
 		time.Sleep(3 * time.Second)
 		for i := 1; i < n; i++ {
 			if value, _ := got.Load(nodeName("r", i)); value != "v" {
-				t.Errorf("node %d got %v as note", i, value)
+				t.Errorf("node %d received note value %v, want v", i, value)
 			}
 		}
 		net.Unregister(nodeName("r", 4))
@@ -53,7 +53,7 @@
 		time.Sleep(20 * time.Second)
 		for _, m := range first.Members() {
 			if m.Name == nodeName("r", 4) {
-				t.Errorf("the killed member is still %s", m.State)
+				t.Errorf("the stopped member is still %s", m.State)
 			}
 		}
 		cancel()
--- a/internal/membership/seeds.go
+++ b/internal/membership/seeds.go
@@ -5,16 +5,13 @@
 	"time"
 )
 
-// Back-off of seeds that do not answer.
 const (
-	seedFirstRetry = 2 * time.Second
-	seedLastRetry  = time.Minute
-	// seedAttempts is how often a seed that is not in the platform's list is
-	// tried.
-	seedAttempts = 12
+	seedMinBackoff = 2 * time.Second
+	seedMaxBackoff = time.Minute
+	// maxUnlistedSeedFailures limits the attempts at seeds that are not listed.
+	maxUnlistedSeedFailures = 12
 )
 
-// seed is an address at which a node may listen.
 type seed struct {
 	name    string
 	address string
@@ -24,7 +21,6 @@
 	next     time.Time
 }
 
-// seedList holds addresses by address.
 type seedList struct {
 	byAddress map[string]*seed
 }
@@ -47,7 +43,7 @@
 	if _, ok := l.byAddress[address]; ok {
 		return
 	}
-	l.add(&seed{name: name, address: address, next: now.Add(seedFirstRetry)})
+	l.add(&seed{name: name, address: address, next: now.Add(seedMinBackoff)})
 }
 
 func (l *seedList) add(s *seed) {
@@ -57,30 +53,29 @@
 	l.byAddress[s.address] = s
 }
 
-// unlist marks seeds that are no longer in the platform's list.
-func (l *seedList) unlist(listed map[string]bool) {
+func (l *seedList) updateListed(listed map[string]bool) {
 	for address, s := range l.byAddress {
 		s.listed = listed[address]
 	}
 }
 
-func (l *seedList) answered(address string) { delete(l.byAddress, address) }
+func (l *seedList) remove(address string) { delete(l.byAddress, address) }
 
-func (l *seedList) failed(now time.Time, address string) {
+func (l *seedList) recordFailure(now time.Time, address string) {
 	s, ok := l.byAddress[address]
 	if !ok {
 		return
 	}
 	s.failures++
-	if !s.listed && s.failures >= seedAttempts {
+	if !s.listed && s.failures >= maxUnlistedSeedFailures {
 		delete(l.byAddress, address)
 		return
 	}
-	wait := min(seedFirstRetry<<min(s.failures, 8), seedLastRetry)
-	s.next = now.Add(wait)
+	backoff := min(seedMinBackoff<<min(s.failures, 8), seedMaxBackoff)
+	s.next = now.Add(backoff)
 }
 
-// due returns the seeds that may be tried, ordered by address.
+// due returns the seeds to call now, ordered by address.
 func (l *seedList) due(now time.Time, known func(*seed) bool) []*seed {
 	var list []*seed
 	for _, s := range l.byAddress {
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -5,44 +5,42 @@
 	"time"
 )
 
-// Bounds of the state.
+// Limits on stored state.
 const (
-	// MaxMembers bounds the members of the own region, dead ones included.
+	// MaxMembers limits the members of this region, including dead ones.
 	MaxMembers = 1024
-	// MaxRegions bounds the summaries of other regions.
+	// MaxRegions limits the regions, including this one.
 	MaxRegions = 64
-	// MaxNotes bounds the notes of other packages.
+	// MaxNotes limits the stored notes.
 	MaxNotes = 4096
-	// MaxNoteBytes bounds a note's value.
+	// MaxNoteBytes limits a note's value.
 	MaxNoteBytes = 256
-	// maxSeeds bounds the addresses not yet known as members.
-	maxSeeds = 1024
-	// maxContacts bounds the contacts of one region.
+	maxSeeds     = 1024
+	// maxContacts is also the number of relays of a region.
 	maxContacts = 3
 )
 
-// Settings are the protocol's times and bounds. Zero fields take the defaults.
+// Settings are the protocol's intervals and limits. Zero fields take the defaults.
 type Settings struct {
-	// ProbeInterval is the time between two probes by one node.
+	// ProbeInterval is the time between two probes sent by one node.
 	ProbeInterval time.Duration
-	// ProbeTimeout bounds a direct probe, and again the indirect ones.
+	// ProbeTimeout limits a direct probe; indirect probes get twice as long.
 	ProbeTimeout time.Duration
-	// IndirectProbes is the number of members asked to probe for this node.
+	// IndirectProbes is the number of helpers for a failed probe.
 	IndirectProbes int
-	// SuspicionTimeout is the time a suspect has to refute, at up to ten members;
-	// it grows with the logarithm of their number.
+	// SuspicionTimeout is the time to refute among up to ten members. It grows with
+	// the logarithm of their number.
 	SuspicionTimeout time.Duration
-	// StatusRefresh is the longest time between two statuses of one's own.
+	// StatusRefresh is the longest time between two statuses of this node.
 	StatusRefresh time.Duration
-	// RegionInterval is the time between two calls of a relay to another
-	// region.
+	// RegionInterval is the time between two calls from one relay to other regions.
 	RegionInterval time.Duration
-	// RegionByZone names the region of each availability zone, to tell seeds of
-	// other regions apart. It may be empty.
+	// RegionByZone maps availability zones to regions, to identify instances in
+	// other regions. It may be empty.
 	RegionByZone map[string]string
 }
 
-// The defaults of Settings.
+// Defaults of Settings.
 const (
 	DefaultProbeInterval    = time.Second
 	DefaultProbeTimeout     = 400 * time.Millisecond
@@ -52,49 +50,44 @@
 	DefaultRegionInterval   = 5 * time.Second
 )
 
-// Shares of one message.
+// Limits on the content of one message.
 const (
-	// maxUpdates bounds the member changes in a message.
-	maxUpdates = 6
-	// maxStatuses bounds the statuses in a message.
+	maxUpdates  = 6
 	maxStatuses = 5
-	// maxSummaries bounds the region summaries in a message in the region.
-	maxSummaries = 2
-	// maxMessageNotes bounds the notes in a message.
+	// maxSummaries applies to messages within the region.
+	maxSummaries    = 2
 	maxMessageNotes = 8
-	// transmissionFactor times the logarithm of the number of members is how
-	// often a change is sent on by each node.
-	transmissionFactor = 3
+	// A change is sent retransmitFactor * log2(members) times by each node.
+	retransmitFactor = 3
 )
 
-// Times that no deployment needs to change.
+// Protocol constants that are not configurable.
 const (
-	// tombstoneTime is how long a dead member is remembered, so that old news
-	// does not bring it back.
-	tombstoneTime = time.Minute
-	// seedInterval is the time between two probes of addresses not yet known.
+	// Dead members are kept so that outdated gossip does not add them again.
+	tombstoneTTL = time.Minute
 	seedInterval = 2 * time.Second
-	// settleTime is how long a table must be unchanged before a different
-	// hash at a peer makes a node ask for the whole table.
+	// settleTime is how long a table must be unchanged before a full sync, and the
+	// shortest time between two.
 	settleTime = 4 * time.Second
-	// mismatchesToAsk is the number of peers in a row whose tables must differ.
-	mismatchesToAsk = 3
-	// pauseTime between two ticks means that this process was paused.
-	pauseTime = 3 * time.Second
-	// summaryRefresh is the longest time between two summaries of a region.
+	// fullSyncMismatches is the number of consecutive hash mismatches before a full
+	// sync.
+	fullSyncMismatches = 3
+	// A gap of pauseThreshold between ticks means that the process was paused.
+	pauseThreshold = 3 * time.Second
+	// summaryRefresh is the longest time between two summaries of this region.
 	summaryRefresh = 30 * time.Second
-	// summaryTime is how long another region's summary is believed.
-	summaryTime = 2 * time.Minute
-	// maxAwareness bounds the slowing down of a node whose own probes fail.
+	// summaryTTL is how long another region's summary stays valid.
+	summaryTTL = 2 * time.Minute
+	// maxAwareness limits Lifeguard's local health awareness: a node whose own
+	// probes fail probes less often and extends its suspicion timeouts.
 	maxAwareness = 4
-	// loadSteps is the number of steps in which load is sent.
+	// loadSteps is the resolution of load on the wire.
 	loadSteps = 64
-	// loadChange is the change of load, in steps, that is told at once.
-	loadChange = 4
-	// summaryLoadChange is the same for the mean of a region.
-	summaryLoadChange = 8
-	// pushFanout is the number of members told at once of urgent news.
-	pushFanout = 3
+	// minLoadChange, in steps, is sent without waiting for StatusRefresh.
+	minLoadChange = 4
+	// minSummaryLoadChange is the same for a region's mean load.
+	minSummaryLoadChange = 8
+	pushFanout           = 3
 )
 
 func (s Settings) withDefaults() Settings {
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Snapshot is an immutable picture of the members. It implements View.
+// Snapshot is an immutable view of the members. It implements View.
 type Snapshot struct {
 	self     Member
 	members  []Member
@@ -14,51 +14,47 @@
 	revision int64
 }
 
-// Region is what is known of another region.
+// Region is the summary of another region.
 type Region struct {
 	Name string
-	// Members counts all, Serving those that take requests.
+	// Serving members own keys.
 	Members, Serving int
-	// Load is the mean over the serving members, 0 to 1 and above.
+	// Load is the mean load of the serving members; see Member.Load.
 	Load float64
 	// ConfigRevision is the newest configuration revision in force there.
 	ConfigRevision int64
-	// Contacts are peer addresses of nodes that speak for the region.
+	// Contacts are the peer addresses of the region's relays.
 	Contacts []string
-	// SummarizedAt is when the region's relay made the summary, by its clock.
+	// SummarizedAt is by the clock of the region's first relay.
 	SummarizedAt time.Time
 }
 
 // Self returns this node's own member.
 func (s *Snapshot) Self() Member { return s.self }
 
-// Members returns all members of the region that are not dead, self included,
-// ordered by name. The slice is the caller's own.
+// Members returns a new slice of the members that are not dead, ordered by name.
 func (s *Snapshot) Members() []Member { return slices.Clone(s.members) }
 
 // Regions returns the summaries of the other regions, ordered by name.
 func (s *Snapshot) Regions() []Region { return s.regions }
 
-// NewestRevision returns the newest configuration revision heard of, in any
-// region.
+// NewestRevision returns the newest configuration revision of any region.
 func (s *Snapshot) NewestRevision() int64 { return s.revision }
 
 // Serving returns the number of members that own keys.
 func (s *Snapshot) Serving() int { return len(s.serving) }
 
-// Owner returns the member that owns the key by rendezvous hash among the
-// members of the region that are neither leaving nor dead; where there is
-// none, this node.
+// Owner returns the rendezvous owner of the key among the members that are neither
+// leaving nor dead, or this node if there is none.
 func (s *Snapshot) Owner(key string) Member {
-	index := first(s.serving, key)
+	index := topRanked(s.serving, key)
 	if index < 0 {
 		return s.self
 	}
 	return s.members[index]
 }
 
-// Owners returns up to n members, the owner first and then those that would
-// own the key after it.
+// Owners returns up to n members in rendezvous order, the owner first.
 func (s *Snapshot) Owners(key string, n int) []Member {
 	indexes := rank(s.serving, key, n)
 	owners := make([]Member, len(indexes))
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -9,64 +9,63 @@
 	membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 )
 
-// Table is one node's part of the protocol. It does no I/O and reads no clock:
-// callers pass the time, carry its messages and report what became of them.
-// It is not safe for concurrent use; Runner holds it under a lock.
+// Table is one node's state in the protocol. It does no I/O and reads no clock:
+// callers pass the time, send the calls it returns and report their outcomes. It is
+// not safe for concurrent use.
 type Table struct {
 	settings Settings
 	rng      *rand.Rand
 	self     *entry
-	// entries holds the members of the own region by name, self included.
+	// entries maps names to the members of this region, self included.
 	entries map[string]*entry
 	byID    map[uint32]*entry
-	// list holds the same entries ordered by name.
+	// list has the same entries, ordered by name.
 	list []*entry
-	// order is the current random round of probes.
-	order   []string
-	seeds   *seedList
-	regions *regionTable
-	notes   *noteTable
+	// probeQueue is the rest of the current round of probes.
+	probeQueue []string
+	seeds      *seedList
+	regions    *regionTable
+	notes      *noteTable
 
 	newestRevision int64
-	// hash is the table's digest, kept up with each change.
+	// hash is the exclusive or of the entries' digests.
 	hash uint64
-	// version grows with each change that a snapshot shows.
-	version  int64
-	snapshot *Snapshot
-	shown    int64
-
-	lastTick    time.Time
-	nextProbe   time.Time
-	nextSeed    time.Time
-	nextStatus  time.Time
-	changed     time.Time
-	lastWantAll time.Time
-	toldLoad    uint32
-	awareness   int
-	mismatches  int
-	// urgent says that there is news which must not wait for the next probe.
-	urgent bool
-	// stopping says that this node itself decided to leave.
-	stopping bool
-	// leavingSign is the last sign from the platform that this node leaves.
-	leavingSign time.Time
-	// askWhole names the member whose whole table is to be asked for.
-	askWhole string
-	counts   Counts
+	// version increases with each change that is visible in a snapshot.
+	version         int64
+	snapshot        *Snapshot
+	snapshotVersion int64
+
+	lastTick       time.Time
+	nextProbe      time.Time
+	nextSeed       time.Time
+	nextStatus     time.Time
+	lastChange     time.Time
+	lastFullSync   time.Time
+	advertisedLoad uint32
+	awareness      int
+	hashMismatches int
+	// pushPending requests a push of urgent changes at the next tick.
+	pushPending bool
+	// leaveRequested is set by Leave, as opposed to the platform's list.
+	leaveRequested bool
+	// lastLeavingReport is from the platform's list or a peer.
+	lastLeavingReport time.Time
+	// fullSyncTarget is the member whose whole table the next tick requests.
+	fullSyncTarget string
+	counts         Counts
 }
 
-// NewTable returns a table that knows only this node. The incarnation of self
-// should be the start's wall clock in milliseconds, so that a restarted VM of
-// the same name comes after its earlier life; should it not, the first peer
-// that remembers more corrects it.
+// NewTable returns a table with only this node. self.Incarnation should be the
+// start time in Unix milliseconds, so that it is higher than before a restart. If
+// it is not, the first peer that has a higher one corrects it.
 func NewTable(self Member, settings Settings, rng *rand.Rand, now time.Time) *Table {
 	t := &Table{
-		settings: settings.withDefaults(),
-		rng:      rng,
-		entries:  make(map[string]*entry),
-		byID:     make(map[uint32]*entry),
-		lastTick: now,
-		changed:  now,
+		settings:   settings.withDefaults(),
+		rng:        rng,
+		entries:    make(map[string]*entry),
+		byID:       make(map[uint32]*entry),
+		lastTick:   now,
+		lastChange: now,
 	}
 	t.regions = newRegionTable(self.Region)
 	t.seeds = newSeedList()
@@ -74,7 +73,7 @@
 	t.nextProbe = now.Add(t.jitter(t.settings.ProbeInterval))
 	t.nextSeed = now
 	t.nextStatus = now
-	t.regions.next = now.Add(t.jitter(t.settings.RegionInterval))
+	t.regions.nextExchange = now.Add(t.jitter(t.settings.RegionInterval))
 	t.self = newEntry(&membershipv1.Member{
 		Name:             self.Name,
 		EntryAddress:     self.EntryAddress,
@@ -85,55 +84,57 @@
 		Liveness:         alive,
 		Leaving:          self.State == StateLeaving,
 	})
-	// Beats begin at the incarnation, so that an earlier life's statuses,
-	// still on their way, are older than this one's.
-	t.self.beat = self.Incarnation
+	// The sequence starts at the incarnation, so that delayed statuses from before
+	// a restart are older.
+	t.self.statusSeq = self.Incarnation
 	t.self.revision = self.ConfigRevision
 	t.newestRevision = self.ConfigRevision
 	t.add(t.self)
 	return t
 }
 
-// Counts are the protocol's events since the start.
+// Counts are the numbers of protocol events since the start.
 type Counts struct {
 	Probes, ProbeFailures, IndirectProbes int64
 	Suspicions, Refutations, Deaths       int64
 	FullSyncs, Pushes, SyncsHandled       int64
 }
 
-// Counts returns the events since the start.
+// Counts returns the event counts since the start.
 func (t *Table) Counts() Counts { return t.counts }
 
-// SetStatus sets this node's own load (part of its slots in use) and the
-// configuration revision in force here, which never goes back.
+// SetStatus sets this node's load (fraction of slots in use) and active
+// configuration revision, which never decreases. Small changes of load wait for
+// StatusRefresh.
 func (t *Table) SetStatus(now time.Time, load float64, revision int64) {
 	revision = max(revision, t.self.revision)
 	steps := uint32(math.Round(max(load, 0) * loadSteps))
-	if t.heardRevision(revision) {
-		t.regions.tellAll = true
+	if t.mergeRevision(revision) {
+		t.regions.notifyAll = true
 	}
-	moved := max(steps, t.toldLoad) - min(steps, t.toldLoad)
-	if moved < loadChange && revision == t.self.revision && now.Before(t.nextStatus) {
+	loadDelta := max(steps, t.advertisedLoad) - min(steps, t.advertisedLoad)
+	if loadDelta < minLoadChange && revision == t.self.revision && now.Before(t.nextStatus) {
 		return
 	}
-	t.toldLoad = steps
+	t.advertisedLoad = steps
 	t.self.load = steps
 	t.self.revision = revision
-	t.self.beat++
-	t.self.statusSent = 0
+	t.self.statusSeq++
+	t.self.statusTransmits = 0
 	t.nextStatus = now.Add(t.settings.StatusRefresh)
 	t.version++
 }
 
-// Leave marks this node as leaving; peers are told at once.
+// Leave marks this node as leaving and pushes that to peers.
 func (t *Table) Leave(now time.Time) {
-	t.stopping = true
+	t.leaveRequested = true
 	t.setSelfLeaving(now, true)
 }
 
-// CancelLeave takes a Leave back; the platform's list may still say leaving.
+// CancelLeave reverts Leave; the platform's list may mark the node as leaving
+// again.
 func (t *Table) CancelLeave(now time.Time) {
-	t.stopping = false
+	t.leaveRequested = false
 	t.setSelfLeaving(now, false)
 }
 
@@ -145,13 +146,12 @@
 		m.Incarnation++
 		m.Leaving = leaving
 	})
-	t.urgent = true
+	t.pushPending = true
 }
 
-// Snapshot returns the current picture; it is the same pointer while nothing
-// has changed.
+// Snapshot returns the current view, which is the same pointer until a change.
 func (t *Table) Snapshot() *Snapshot {
-	if t.snapshot != nil && t.shown == t.version {
+	if t.snapshot != nil && t.snapshotVersion == t.version {
 		return t.snapshot
 	}
 	s := &Snapshot{self: t.self.member(), revision: t.newestRevision, regions: t.regions.view()}
@@ -164,14 +164,14 @@
 		}
 		s.members = append(s.members, e.member())
 	}
-	t.snapshot, t.shown = s, t.version
+	t.snapshot, t.snapshotVersion = s, t.version
 	return s
 }
 
 func (t *Table) add(e *entry) {
 	t.entries[e.wire.Name] = e
-	place, _ := slices.BinarySearchFunc(t.list, e, compareNames)
-	t.list = slices.Insert(t.list, place, e)
+	index, _ := slices.BinarySearchFunc(t.list, e, compareNames)
+	t.list = slices.Insert(t.list, index, e)
 	t.byID[e.id()] = e
 	t.hash ^= e.digest()
 	t.version++
@@ -179,41 +179,40 @@
 
 func (t *Table) remove(e *entry) {
 	delete(t.entries, e.wire.Name)
-	place, _ := slices.BinarySearchFunc(t.list, e, compareNames)
-	t.list = slices.Delete(t.list, place, place+1)
+	index, _ := slices.BinarySearchFunc(t.list, e, compareNames)
+	t.list = slices.Delete(t.list, index, index+1)
 	delete(t.byID, e.id())
 	t.hash ^= e.digest()
 	t.version++
 }
 
-// change replaces an entry's member by an edited copy and has it sent on.
-// Members are never edited in place: messages under way share them.
+// change replaces an entry's member with a modified copy and schedules its
+// transmission.
 func (t *Table) change(now time.Time, e *entry, edit func(*membershipv1.Member)) {
 	t.hash ^= e.digest()
 	next := cloneMember(e.wire)
 	edit(next)
 	e.wire = next
 	t.hash ^= e.digest()
-	t.spread(now, e)
+	t.scheduleUpdate(now, e)
 }
 
-func (t *Table) spread(now time.Time, e *entry) {
-	e.updateLeft = t.transmissions()
-	t.changed = now
+func (t *Table) scheduleUpdate(now time.Time, e *entry) {
+	e.transmitsLeft = t.retransmitLimit()
+	t.lastChange = now
 	t.version++
 }
 
-// transmissions is how often one node sends one change on.
-func (t *Table) transmissions() int {
-	return transmissionFactor * t.rounds()
+func (t *Table) retransmitLimit() int {
+	return retransmitFactor * t.gossipRounds()
 }
 
-// rounds is the number of rounds in which news doubles to all members.
-func (t *Table) rounds() int {
+// gossipRounds assumes that the number of informed members doubles in each round.
+func (t *Table) gossipRounds() int {
 	return int(math.Ceil(math.Log2(float64(len(t.entries) + 1))))
 }
 
-// jitter returns a random time up to d, above zero.
+// jitter returns a random duration in (0, d].
 func (t *Table) jitter(d time.Duration) time.Duration {
 	return time.Duration(1 + t.rng.Int64N(int64(d)))
 }
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -18,33 +18,33 @@
 func joinedFleet(t testing.TB, n int) *fleet {
 	f := newFleet(t)
 	f.fill("r", n)
-	f.until(joinLimit, f.joined(n))
+	f.runUntil(joinLimit, f.joined(n))
 	return f
 }
 
-func TestKilledMemberIsFoundDead(t *testing.T) {
+func TestKilledMemberIsDeclaredDead(t *testing.T) {
 	for _, n := range sizes {
 		f := joinedFleet(t, n)
-		f.run(10 * time.Second)
+		f.runFor(10 * time.Second)
 		victim := nodeName("r", n-1)
 		f.kill(victim)
-		first := f.until(deathLimit, func() bool { return f.anyone(victim, StateDead) })
-		all := first + f.until(deathLimit, func() bool { return f.everyone(victim, StateDead) })
-		t.Logf("%2d members: dead at the first after %v, at all after %v", n, first, all)
+		first := f.runUntil(deathLimit, func() bool { return f.anySees(victim, StateDead) })
+		all := first + f.runUntil(deathLimit, func() bool { return f.allSee(victim, StateDead) })
+		t.Logf("%2d members: declared dead by the first node after %v, by all after %v", n, first, all)
 	}
 }
 
-func TestOneWayCutKillsNobody(t *testing.T) {
+func TestAsymmetricPartitionCausesNoDeaths(t *testing.T) {
 	near, far := nodeName("r", 0), nodeName("r", 1)
 	cuts := map[string]func(from, to string) bool{
-		"one pair":        func(from, to string) bool { return from == near && to == far },
-		"nobody calls it": func(_, to string) bool { return to == far },
+		"one pair":                func(from, to string) bool { return from == near && to == far },
+		"all calls to one member": func(_, to string) bool { return to == far },
 	}
 	for name, cut := range cuts {
 		t.Run(name, func(t *testing.T) {
 			f := joinedFleet(t, 8)
 			f.blocked = cut
-			f.run(5 * time.Minute)
+			f.runFor(5 * time.Minute)
 			counts := f.counts()
 			t.Logf("in 5 min: %d failed probes, %d suspicions, %d deaths",
 				counts.ProbeFailures, counts.Suspicions, counts.Deaths)
@@ -55,11 +55,11 @@
 	}
 }
 
-func TestMessageLossKillsNobody(t *testing.T) {
+func TestMessageLossCausesNoDeaths(t *testing.T) {
 	for _, n := range []int{8, 60} {
 		f := joinedFleet(t, n)
 		f.lost = func(string, string) bool { return f.rng.IntN(100) < 5 }
-		f.run(3 * time.Minute)
+		f.runFor(3 * time.Minute)
 		counts := f.counts()
 		t.Logf("%d members, 5%% of messages lost, 3 min: %d probes, %d failed, %d suspicions, %d refutations, %d deaths",
 			n, counts.Probes, counts.ProbeFailures, counts.Suspicions, counts.Refutations, counts.Deaths)
@@ -69,20 +69,20 @@
 	}
 }
 
-func TestRestartedMemberComesBack(t *testing.T) {
+func TestRestartedMemberRejoins(t *testing.T) {
 	f := joinedFleet(t, 8)
 	name := nodeName("r", 3)
 	f.kill(name)
-	f.run(2 * time.Second)
+	f.runFor(2 * time.Second)
 	back := f.add("r", 3, nodeName("r", 0))
-	back.self.wire.Incarnation = 5 // a clock that went back
-	f.until(joinLimit, f.joined(8))
-	f.run(time.Minute)
+	back.self.wire.Incarnation = 5 // the clock went back
+	f.runUntil(joinLimit, f.joined(8))
+	f.runFor(time.Minute)
 	if !f.joined(8)() {
-		t.Error("the restarted member was lost again")
+		t.Error("the restarted member was removed again")
 	}
 	if got := back.self.wire.Incarnation; got <= 5 {
-		t.Errorf("incarnation %d does not come after the earlier life", got)
+		t.Errorf("incarnation %d is not above the one before the restart", got)
 	}
 }
 
@@ -90,39 +90,39 @@
 	f := joinedFleet(t, 8)
 	name := nodeName("r", 3)
 	paused := f.tables[name]
-	paused.HandleUnreachable(f.now, paused.call(f.now, CallProbe, paused.entries[nodeName("r", 4)]))
+	paused.HandleUnreachable(f.now, paused.newCall(f.now, CallProbe, paused.entries[nodeName("r", 4)]))
 	f.kill(name)
-	f.run(time.Minute)
+	f.runFor(time.Minute)
 	f.tables[name] = paused
-	f.until(joinLimit, f.joined(8))
+	f.runUntil(joinLimit, f.joined(8))
 	if deaths := paused.Counts().Deaths; deaths != 0 {
 		t.Errorf("the paused node declared %d members dead", deaths)
 	}
 }
 
-func TestHealedPartitionJoinsAgain(t *testing.T) {
+func TestHealedPartitionMerges(t *testing.T) {
 	f := joinedFleet(t, 8)
 	side := func(name string) bool { return name < nodeName("r", 4) }
 	f.blocked = func(from, to string) bool { return side(from) != side(to) }
-	f.until(time.Minute, f.joined(4))
-	f.run(2 * time.Minute)
+	f.runUntil(time.Minute, f.joined(4))
+	f.runFor(2 * time.Minute)
 	f.blocked = func(string, string) bool { return false }
-	took := f.until(2*time.Minute, f.joined(8))
-	t.Logf("whole again %v after the cut was healed", took)
+	took := f.runUntil(2*time.Minute, f.joined(8))
+	t.Logf("all members joined again %v after the partition healed", took)
 }
 
 func TestLeavingIsKnownToAllWithinThreeSeconds(t *testing.T) {
 	for _, n := range []int{8, 60} {
 		f := joinedFleet(t, n)
-		f.run(10 * time.Second)
+		f.runFor(10 * time.Second)
 		f.tables[nodeName("r", 1)].Leave(f.now)
-		own := f.until(3*time.Second, func() bool { return f.everyone(nodeName("r", 1), StateLeaving) })
+		own := f.runUntil(3*time.Second, func() bool { return f.allSee(nodeName("r", 1), StateLeaving) })
 		list := []platform.Instance{{Name: nodeName("r", 2), Address: nodeName("r", 2), State: platform.InstanceLeaving}}
 		f.tables[nodeName("r", 0)].ApplyInstances(f.now, list)
-		byList := f.until(3*time.Second, func() bool { return f.everyone(nodeName("r", 2), StateLeaving) })
-		t.Logf("%d members: own word after %v, platform's list at one node after %v", n, own, byList)
+		byList := f.runUntil(3*time.Second, func() bool { return f.allSee(nodeName("r", 2), StateLeaving) })
+		t.Logf("%d members: leaving known to all %v after Leave, %v after a platform list at one node", n, own, byList)
 		if got := f.tables[nodeName("r", 2)].Snapshot().Self().State; got != StateLeaving {
-			t.Errorf("the member called leaving sees itself %s", got)
+			t.Errorf("the member listed as leaving has state %s in its own view", got)
 		}
 		for _, table := range f.tables {
 			for _, owner := range table.Snapshot().Owners("key", n) {
@@ -134,37 +134,39 @@
 	}
 }
 
-func TestListNeverKillsNorStopsForGood(t *testing.T) {
+// TestInstanceListNeverRemovesMembers also checks that a node which the list shows
+// as live again serves only after resumeDelay.
+func TestInstanceListNeverRemovesMembers(t *testing.T) {
 	f := joinedFleet(t, 3)
 	name := nodeName("r", 1)
 	table := f.tables[name]
 	for _, other := range f.tables {
 		other.ApplyInstances(f.now, nil)
 	}
-	f.run(time.Minute)
+	f.runFor(time.Minute)
 	if !f.joined(3)() {
-		t.Fatal("an empty list took members out")
+		t.Fatal("an empty list removed members")
 	}
 	live := []platform.Instance{{Name: name, Address: name, State: platform.InstanceLive}}
 	leaving := []platform.Instance{{Name: name, Address: name, State: platform.InstanceLeaving}}
 	table.ApplyInstances(f.now, leaving)
-	f.until(3*time.Second, func() bool { return f.everyone(name, StateLeaving) })
+	f.runUntil(3*time.Second, func() bool { return f.allSee(name, StateLeaving) })
 	table.ApplyInstances(f.now, live)
 	if table.Snapshot().Self().State != StateLeaving {
-		t.Error("the node came back at the first, perhaps old, list")
+		t.Error("the node served again at the first list, which may be stale")
 	}
-	f.run(returnTime)
+	f.runFor(resumeDelay)
 	table.ApplyInstances(f.now, live)
-	f.until(3*time.Second, f.joined(3))
+	f.runUntil(3*time.Second, f.joined(3))
 }
 
-func TestOtherVMAtTheAddressIsNotTheTarget(t *testing.T) {
+func TestReusedAddressDoesNotKeepOldMemberAlive(t *testing.T) {
 	f := joinedFleet(t, 2)
 	name := nodeName("r", 1)
-	stranger := f.add("r", 9)
+	replacement := f.add("r", 9)
 	f.kill(nodeName("r", 9))
-	f.tables[name] = stranger
-	f.until(deathLimit, func() bool { return seen(f.tables[nodeName("r", 0)], name) == StateDead })
+	f.tables[name] = replacement
+	f.runUntil(deathLimit, func() bool { return stateAt(f.tables[nodeName("r", 0)], name) == StateDead })
 }
 
 func TestNoteReachesAllOnceAndExpires(t *testing.T) {
@@ -174,20 +176,20 @@
 		t.Fatal(err)
 	}
 	got := make(map[string]int)
-	took := f.until(3*time.Second, func() bool {
+	took := f.runUntil(3*time.Second, func() bool {
 		for name, table := range f.tables {
 			got[name] += len(table.TakeNotes())
 		}
 		return len(got)-1 == 59 && allAtLeast(got, 1, nodeName("r", 0))
 	})
-	f.run(10 * time.Second)
+	f.runFor(10 * time.Second)
 	for name, table := range f.tables {
 		if got[name] += len(table.TakeNotes()); got[name] > 1 {
-			t.Errorf("%s got the note %d times", name, got[name])
+			t.Errorf("%s received the note %d times", name, got[name])
 		}
 	}
-	t.Logf("a note reached 60 members after %v", took)
-	f.run(time.Minute)
+	t.Logf("the note reached all 60 members after %v", took)
+	f.runFor(time.Minute)
 	if left := f.tables[nodeName("r", 5)].notes.all(f.now); len(left) != 0 {
 		t.Errorf("%d notes left after they expired", len(left))
 	}
@@ -202,18 +204,17 @@
 	return true
 }
 
-// TestFirstConfigurationIsKnownWithinASecond has a member that joined without a
-// configuration put one in force that the others have: callers are sent to it only
-// once the others know.
+// TestFirstConfigurationIsKnownWithinASecond guards against a slow start of
+// members: callers are sent to one only once the others know its configuration.
 func TestFirstConfigurationIsKnownWithinASecond(t *testing.T) {
 	f := joinedFleet(t, 3)
 	newest := f.tables[nodeName("r", 1)]
 	newest.SetStatus(f.now, 0, 7)
 	late := f.add("r", 3, nodeName("r", 0))
 	late.self.revision = 0
-	f.run(10 * time.Second)
+	f.runFor(10 * time.Second)
 	late.SetStatus(f.now, 0, 7)
-	took := f.until(5*time.Second, func() bool {
+	took := f.runUntil(5*time.Second, func() bool {
 		for _, m := range f.tables[nodeName("r", 0)].Snapshot().Members() {
 			if m.Name == nodeName("r", 3) {
 				return m.ConfigRevision == 7
@@ -222,22 +223,22 @@
 		return false
 	})
 	if took > time.Second {
-		t.Errorf("the first configuration of a member was known after %v", took)
+		t.Errorf("the first configuration of a member was known after %v, want at most 1s", took)
 	}
 }
 
-func TestRevisionNeverGoesBack(t *testing.T) {
+func TestRevisionNeverDecreases(t *testing.T) {
 	f := joinedFleet(t, 2)
 	table := f.tables[nodeName("r", 0)]
 	table.SetStatus(f.now, 0.5, 7)
 	table.SetStatus(f.now, 0.9, 6)
 	if got := table.Snapshot().Self().ConfigRevision; got != 7 {
-		t.Errorf("revision went back to %d", got)
+		t.Errorf("revision decreased to %d", got)
 	}
-	f.run(5 * time.Second)
+	f.runFor(5 * time.Second)
 	for _, m := range f.tables[nodeName("r", 1)].Snapshot().Members() {
 		if m.Name == nodeName("r", 0) && m.ConfigRevision != 7 {
-			t.Errorf("the peer sees revision %d", m.ConfigRevision)
+			t.Errorf("the peer sees revision %d, want 7", m.ConfigRevision)
 		}
 	}
 }
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -7,27 +7,27 @@
 	membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 )
 
-// Tick does what is due and returns the messages to send. It is called about
-// ten times a second; most calls return nothing.
+// Tick returns the calls that are due. It should be called about ten times a
+// second.
 func (t *Table) Tick(now time.Time) []Call {
-	t.afterPause(now)
+	t.extendAfterPause(now)
 	t.expire(now)
 	t.tickStatus(now)
 	var calls []Call
 	calls = append(calls, t.tickPush(now)...)
-	calls = append(calls, t.tickWhole(now)...)
+	calls = append(calls, t.tickFullSync(now)...)
 	calls = append(calls, t.tickProbe(now)...)
 	calls = append(calls, t.tickSeed(now)...)
 	calls = append(calls, t.tickRegion(now)...)
 	return calls
 }
 
-// afterPause gives suspects back the time in which this process did not run:
-// their refutations wait unread in the sockets.
-func (t *Table) afterPause(now time.Time) {
+// extendAfterPause gives suspects the time in which this process did not run, since
+// their refutations may be unread in the sockets.
+func (t *Table) extendAfterPause(now time.Time) {
 	gap := now.Sub(t.lastTick)
 	t.lastTick = now
-	if gap < pauseTime {
+	if gap < pauseThreshold {
 		return
 	}
 	t.awareness = maxAwareness
@@ -38,8 +38,6 @@
 	}
 }
 
-// expire turns suspects that did not refute into dead ones, and forgets old
-// dead ones.
 func (t *Table) expire(now time.Time) {
 	for _, e := range slices.Clone(t.list) {
 		if e.deadline.IsZero() || now.Before(e.deadline) {
@@ -56,7 +54,6 @@
 	t.regions.expire(now)
 }
 
-// tickStatus renews this node's status where SetStatus is not called.
 func (t *Table) tickStatus(now time.Time) {
 	if now.Before(t.nextStatus) {
 		return
@@ -65,25 +62,25 @@
 }
 
 func (t *Table) tickPush(now time.Time) []Call {
-	if !t.urgent {
+	if !t.pushPending {
 		return nil
 	}
-	t.urgent = false
+	t.pushPending = false
 	var calls []Call
 	for _, e := range t.randomMembers(pushFanout, nil) {
 		t.counts.Pushes++
-		calls = append(calls, t.call(now, CallPush, e))
+		calls = append(calls, t.newCall(now, CallPush, e))
 	}
 	return calls
 }
 
-func (t *Table) tickWhole(now time.Time) []Call {
-	e, ok := t.entries[t.askWhole]
-	t.askWhole = ""
+func (t *Table) tickFullSync(now time.Time) []Call {
+	e, ok := t.entries[t.fullSyncTarget]
+	t.fullSyncTarget = ""
 	if !ok || e.wire.Liveness == dead {
 		return nil
 	}
-	call := t.call(now, CallFullSync, e)
+	call := t.newCall(now, CallFullSync, e)
 	call.Request.WantAll = true
 	return []Call{call}
 }
@@ -94,54 +91,53 @@
 	}
 	interval := t.settings.ProbeInterval * time.Duration(1+t.awareness)
 	t.nextProbe = now.Add(interval*9/10 + t.jitter(interval/5))
-	e := t.nextTarget()
+	e := t.nextProbeTarget()
 	if e == nil {
 		return nil
 	}
 	t.counts.Probes++
-	return []Call{t.call(now, CallProbe, e)}
+	return []Call{t.newCall(now, CallProbe, e)}
 }
 
-// nextTarget goes through the members in rounds of random order, so that each
-// is probed within two rounds at the latest.
-func (t *Table) nextTarget() *entry {
+// nextProbeTarget goes through random rounds, so that no member waits for over two.
+func (t *Table) nextProbeTarget() *entry {
 	for range 2 {
-		for len(t.order) > 0 {
-			last := len(t.order) - 1
-			e, ok := t.entries[t.order[last]]
-			t.order = t.order[:last]
+		for len(t.probeQueue) > 0 {
+			last := len(t.probeQueue) - 1
+			e, ok := t.entries[t.probeQueue[last]]
+			t.probeQueue = t.probeQueue[:last]
 			if ok && e.wire.Liveness != dead {
 				return e
 			}
 		}
-		t.shuffle()
+		t.refillProbeQueue()
 	}
 	return nil
 }
 
-func (t *Table) shuffle() {
+func (t *Table) refillProbeQueue() {
 	for _, e := range t.list {
 		if e != t.self {
-			t.order = append(t.order, e.wire.Name)
+			t.probeQueue = append(t.probeQueue, e.wire.Name)
 		}
 	}
-	t.rng.Shuffle(len(t.order), func(i, j int) { t.order[i], t.order[j] = t.order[j], t.order[i] })
+	t.rng.Shuffle(len(t.probeQueue), func(i, j int) { t.probeQueue[i], t.probeQueue[j] = t.probeQueue[j], t.probeQueue[i] })
 }
 
-// randomMembers returns up to n members that are alive, this node and except
-// left out.
+// randomMembers returns up to n members that are alive, excluding this
+// node and except.
 func (t *Table) randomMembers(n int, except *entry) []*entry {
-	var some []*entry
+	var eligible []*entry
 	for _, e := range t.list {
 		if e != t.self && e != except && e.wire.Liveness == alive {
-			some = append(some, e)
+			eligible = append(eligible, e)
 		}
 	}
-	t.rng.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-	return some[:min(n, len(some))]
+	t.rng.Shuffle(len(eligible), func(i, j int) { eligible[i], eligible[j] = eligible[j], eligible[i] })
+	return eligible[:min(n, len(eligible))]
 }
 
-func (t *Table) call(now time.Time, kind CallKind, e *entry) Call {
+func (t *Table) newCall(now time.Time, kind CallKind, e *entry) Call {
 	gossip := t.gossip(now, e)
 	gossip.Sender = t.self.wire
 	return Call{
--- a/internal/membership/tickseed.go
+++ b/internal/membership/tickseed.go
@@ -13,14 +13,14 @@
 	}
 }
 
-// tickSeed calls one address that is not yet known as a member, or several
-// where this node is still alone.
+// tickSeed calls one seed that is not a member, or several while this node is
+// alone.
 func (t *Table) tickSeed(now time.Time) []Call {
 	if now.Before(t.nextSeed) {
 		return nil
 	}
 	t.nextSeed = now.Add(seedInterval)
-	due := t.seeds.due(now, t.seedKnown)
+	due := t.seeds.due(now, t.isMemberSeed)
 	if len(due) == 0 {
 		return nil
 	}
@@ -43,8 +43,7 @@
 	return calls
 }
 
-// seedKnown reports whether a seed is a member that is believed to live.
-func (t *Table) seedKnown(s *seed) bool {
+func (t *Table) isMemberSeed(s *seed) bool {
 	if e, ok := t.entries[s.name]; ok && e.wire.Liveness != dead {
 		return true
 	}
