--- a/internal/claim/fakecall_test.go
+++ b/internal/claim/fakecall_test.go
@@ -91,14 +91,14 @@
 	if refused.Outcome != refusal.NotRun {
 		t.Errorf("refusal %v has outcome %s", refused, refused.Outcome)
 	}
-	if runsBefore > 0 && refused.Reason != refusal.IdempotencyReuse {
+	if runsBefore > 0 && refused.Reason != refusal.IdempotencyKeyReused {
 		t.Errorf("%v had run, yet a repeat was told not-run: %v", key, refused)
 	}
 	return toldNotRun
 }
 
 // runCall sends a claimed call and records how it ended.
-func (c *cluster) runCall(t testing.TB, node *testNode, grant Grant, body string, killed func(step) bool) told {
+func (c *cluster) runCall(t testing.TB, node *testNode, grant BeginResult, body string, killed func(step) bool) told {
 	ends := OutcomeRecorded
 	if c.ends != nil {
 		ends = c.ends()
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -59,17 +59,17 @@
 func (s *shard) begin(ctx context.Context, request BeginRequest, gone func(string, uuid.UUID) bool) (Decision, error) {
 	now := time.Now()
 	command := BeginCommand{
-		Key: request.Key, Content: request.Content, Attempt: request.Attempt,
-		Node: request.Node, Boot: request.Boot, Now: now, Gone: gone,
+		Key: request.Key, CallFingerprint: request.CallFingerprint, Attempt: request.Attempt,
+		Node: request.Node, Boot: request.Boot, Now: now, ProcessEnded: gone,
 	}
 	s.mu.Lock()
 	if !s.holding {
 		defer s.mu.Unlock()
 		return s.remembered(command), errNotHolder
 	}
-	command.Refuse = s.refusalForNew(now)
+	command.RefuseNew = s.refusalForNew(now)
 	if request.KnownOnly {
-		command.Refuse = refusal.QuotaExceeded
+		command.RefuseNew = refusal.QuotaExceeded
 	}
 	return s.run(ctx, request.Key, command, now)
 }
@@ -123,7 +123,7 @@
 // has run, which only the shard's one holder knows.
 func refusesNew(decision Decision) bool {
 	switch decision.Refused {
-	case refusal.ClaimStoreDown, refusal.ClaimLedger, refusal.QuotaExceeded:
+	case refusal.ClaimStoreDown, refusal.ClaimLedgerFull, refusal.QuotaExceeded:
 		return true
 	}
 	return false
@@ -152,7 +152,7 @@
 	if err != nil {
 		return Decision{}
 	}
-	command.Refuse = refusal.ClaimStoreDown
+	command.RefuseNew = refusal.ClaimStoreDown
 	_, decision := Apply(state, command)
 	if decision.Verdict == Run || decision.Refused == refusal.ClaimStoreDown {
 		return Decision{}
@@ -174,7 +174,7 @@
 		s.signal()
 	}
 	if s.ring.full() {
-		return refusal.ClaimLedger
+		return refusal.ClaimLedgerFull
 	}
 	return ""
 }
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Register exports the runner's counts and the members by state.
+// Register exports the protocol's event counts and the number of members by state.
 func (r *Runner) Register(registerer prometheus.Registerer) {
 	events := []struct {
 		name, help string
@@ -14,7 +14,7 @@
 		{"suspicions", "Members that became suspect here.", func(c Counts) int64 { return c.Suspicions }},
 		{"refutations", "Doubts in this node that it refuted.", func(c Counts) int64 { return c.Refutations }},
 		{"deaths", "Members declared dead here.", func(c Counts) int64 { return c.Deaths }},
-		{"whole_tables", "Whole tables sent.", func(c Counts) int64 { return c.WholeTables }},
+		{"whole_tables", "Whole tables sent.", func(c Counts) int64 { return c.FullSyncs }},
 		{"pushes", "Messages sent at once for urgent news.", func(c Counts) int64 { return c.Pushes }},
 		{"syncs_handled", "Messages of peers answered.", func(c Counts) int64 { return c.SyncsHandled }},
 	}
