--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -78,8 +78,8 @@
 // healthCost returns the cost of the replica's recent failures and unresponsiveness.
 func healthCost(now time.Time, s *replicaState) float64 {
 	cost := failureCost * (s.failureScoreAt(now) + peerFailureWeight*s.peersFailureScore)
-	if silence := s.unresponsiveFor(now); silence > unresponsiveAfter {
-		cost += unresponsiveCostPerMS * float64((silence - unresponsiveAfter).Milliseconds())
+	if unresponsive := s.unresponsiveFor(now); unresponsive > unresponsiveAfter {
+		cost += unresponsiveCostPerMS * float64((unresponsive - unresponsiveAfter).Milliseconds())
 	}
 	return cost
 }
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -63,8 +63,8 @@
 	defer u.mu.Unlock()
 	for _, s := range u.all {
 		failures := s.failureScoreAt(now)
-		if silence := s.unresponsiveFor(now); silence > unresponsiveAfter {
-			failures += silence.Seconds()
+		if unresponsive := s.unresponsiveFor(now); unresponsive > unresponsiveAfter {
+			failures += unresponsive.Seconds()
 		}
 		if s.running == 0 && failures < negligibleFailures {
 			continue
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -47,26 +47,26 @@
 func TestSessionReturnsToItsReplicaFromAnyNode(t *testing.T) {
 	one, _ := fleet(12, 1)
 	two, _ := fleet(12, 2)
-	home := make(map[uint64]string)
+	placedOn := make(map[uint64]string)
 	for i := range uint64(40) {
 		// Sessions without a part in common.
 		session := 50 * (i + 2)
 		now := start.Add(time.Duration(session) * time.Second)
 		a := one.Choose(now, "u", long(session))
-		home[session] = a.Replica.ID
+		placedOn[session] = a.Replica.ID
 		a.AnswerStarted(now)
 		a.End(now, Answered)
 		two.SetPlacements(one.Placements(now, time.Time{}), false, now)
 		for _, p := range []*Placer{one, two} {
 			b := p.Choose(now.Add(time.Second), "u", long(session))
-			if b.Replica.ID != home[session] {
-				t.Errorf("session %d was placed on %s and then on %s", session, home[session], b.Replica.ID)
+			if b.Replica.ID != placedOn[session] {
+				t.Errorf("session %d was placed on %s and then on %s", session, placedOn[session], b.Replica.ID)
 			}
 			b.End(now, Cancelled)
 		}
 	}
 	used := make(map[string]bool)
-	for _, id := range home {
+	for _, id := range placedOn {
 		used[id] = true
 	}
 	if len(used) < 4 {
@@ -242,18 +242,18 @@
 		t.Run(name, func(t *testing.T) {
 			p, _ := fleet(6, 1)
 			taken := make(map[string]int)
-			held := make(map[string]map[uint64]bool)
+			counted := make(map[string]map[uint64]bool)
 			for i := range 100 {
 				r := long(session(i))
 				a := p.Choose(start, "u", r)
 				a.AnswerStarted(start)
 				taken[a.Replica.ID] += r.tokens() - r.sharedTokens()
 				for _, part := range r.Shared {
-					if held[a.Replica.ID] == nil {
-						held[a.Replica.ID] = make(map[uint64]bool)
+					if counted[a.Replica.ID] == nil {
+						counted[a.Replica.ID] = make(map[uint64]bool)
 					}
-					if !held[a.Replica.ID][part.ID] {
-						held[a.Replica.ID][part.ID] = true
+					if !counted[a.Replica.ID][part.ID] {
+						counted[a.Replica.ID][part.ID] = true
 						taken[a.Replica.ID] += part.Tokens
 					}
 				}
--- a/internal/placement/places.go
+++ b/internal/placement/places.go
@@ -32,8 +32,8 @@
 		return 0
 	}
 	before := float64(waiting)
-	if toRead := s.pendingPrefill(); toRead > 0 {
-		before *= float64(s.prefillAhead(rank)) / float64(toRead)
+	if pending := s.pendingPrefill(); pending > 0 {
+		before *= float64(s.prefillAhead(rank)) / float64(pending)
 	}
 	return u.answerMS * (before + 1) / float64(slots)
 }
--- a/internal/placement/ratelimits_test.go
+++ b/internal/placement/ratelimits_test.go
@@ -35,7 +35,7 @@
 		if a == nil || !a.NeedsPermit {
 			return a
 		}
-		if asked := permits.Acquire(t.Context(), time.Now(), &a.Replica); asked.Given() {
+		if grant := permits.Acquire(t.Context(), time.Now(), &a.Replica); grant.Given() {
 			t.Fatal("a permit was given")
 		}
 		a.End(time.Now(), Cancelled)
@@ -102,12 +102,12 @@
 	now := time.Now()
 	refused := p.Choose(now, "u", long(100))
 	refused.End(now, Cancelled)
-	if told := p.Placements(now, time.Time{}); len(told) != 0 {
-		t.Errorf("placements after a refused permit: %v, want none", told)
+	if announced := p.Placements(now, time.Time{}); len(announced) != 0 {
+		t.Errorf("placements after a refused permit: %v, want none", announced)
 	}
 	p.Choose(now, "u", long(100)).PermitGranted(now)
-	if told := p.Placements(now, time.Time{}); len(told) != 1 {
-		t.Errorf("placements after a granted permit: %v, want one", told)
+	if announced := p.Placements(now, time.Time{}); len(announced) != 1 {
+		t.Errorf("placements after a granted permit: %v, want one", announced)
 	}
 }
 
