--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -29,7 +29,6 @@
 	}
 }
 
-// BenchmarkRequest is a whole request: Submit, Next, FirstToken, Finish.
 func BenchmarkRequest(b *testing.B) {
 	for _, replicas := range []int{20, 350} {
 		b.Run(strconv.Itoa(replicas), func(b *testing.B) {
@@ -59,30 +58,30 @@
 	}
 }
 
-func heapNow() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkBytes reports the memory of a replica with its prefixes remembered,
-// and of a waiting request besides the strings and slices that it holds.
+// BenchmarkBytes reports the memory of a replica with its prefixes, and of a waiting request
+// without its strings and slices.
 func BenchmarkBytes(b *testing.B) {
 	const replicas, requests = 350, 10000
 	for b.Loop() {
-		before := heapNow()
+		before := heapBytes()
 		p := benchPool(replicas)
-		for i, r := range p.order {
+		for i, r := range p.orderedReplicas {
 			for n := range uint64(500) {
 				r.prefixes.Add([]uint64{uint64(i)<<32 | n})
 			}
 		}
-		middle := heapNow()
+		middle := heapBytes()
 		for i := range requests {
 			p.Submit(start, benchRequest(strconv.Itoa(i), start))
 		}
-		after := heapNow()
+		after := heapBytes()
 		b.ReportMetric((middle-before)/replicas, "bytes/replica")
 		b.ReportMetric((after-middle)/requests, "bytes/waiting")
 		runtime.KeepAlive(p)
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -2,24 +2,24 @@
 
 import "galenatrestle/internal/balancer"
 
-// Choice is what was known of the chosen replica when it was chosen.
+// Choice describes the chosen replica as seen when it was chosen.
 type Choice struct {
-	// Eligible counts the replicas it was chosen from: free ones fit for the request.
+	// Eligible is the number of replicas with a free slot that suited the request.
 	Eligible int
-	// Running counts this node's requests there before this one, Limit its limit.
+	// Running is the number of this node's requests there before this one, bounded by Limit.
 	Running int
 	Limit   int
-	// Slowness is its time between tokens as a multiple of the usual one.
+	// Slowness is the time between tokens relative to the pool's median.
 	Slowness float64
-	// Cached is the part of the prompt's prefill that its cache saves.
+	// Cached is the fraction of the prefill expected to be saved by the prefix cache.
 	Cached float64
-	// SameZone says that it is in this node's availability zone.
+	// SameZone refers to the availability zone of this node.
 	SameZone bool
 }
 
-func choiceOf(c *balancer.Candidate, fit int) Choice {
+func choiceOf(c *balancer.Candidate, eligible int) Choice {
 	return Choice{
-		Eligible: fit, Running: c.Running, Limit: c.Limit,
+		Eligible: eligible, Running: c.Running, Limit: c.Limit,
 		Slowness: c.Slowness, Cached: c.Cached, SameZone: c.SameZone,
 	}
 }
--- a/internal/router/class_state.go
+++ b/internal/router/class_state.go
@@ -6,10 +6,9 @@
 	"galenatrestle/internal/scheduler"
 )
 
-// classState is a class with its counts in one pool.
 type classState struct {
 	config.Class
-	// retired classes admit nothing new.
+	// retired classes are no longer configured and admit no new requests.
 	retired bool
 	waiting int
 	gate    admission.Gate
@@ -26,9 +25,9 @@
 	return class
 }
 
-func schedulerClass(class config.Class, without Features) scheduler.Class {
+func schedulerClass(class config.Class, disabled Features) scheduler.Class {
 	after := class.MinShareAfter.Std()
-	if without.MinShare {
+	if disabled.MinShare {
 		after = 0
 	}
 	return scheduler.Class{
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -2,13 +2,12 @@
 
 import "galenatrestle/internal/refusal"
 
-// Decision is a decision of Pool.Next: exactly one of Replica and Refused is set.
+// Decision is a result of Pool.Decide. Exactly one of Replica and Refused is set.
 type Decision struct {
-	ID string
-	// Replica is the replica the request is bound to.
+	ID      string
 	Replica *Replica
-	// Choice is why it is bound to that one.
+	// Choice explains why Replica was chosen.
 	Choice Choice
-	// Refused is why the request was given up while it waited.
+	// Refused is why a waiting request was refused.
 	Refused *refusal.Error
 }
--- a/internal/router/features.go
+++ b/internal/router/features.go
@@ -1,30 +1,27 @@
 package router
 
-// Features names decisions that can be taken out of a pool, one by one, to
-// measure what each is worth. Operators have no use for it.
+// Features selects parts of the decision logic to disable, to measure what each
+// contributes. It is not an operator setting.
 type Features struct {
-	// SlackOrder orders by slack within a tier, those on target before the late;
-	// without it by arrival.
+	// SlackOrder orders the requests of a tier by slack instead of arrival.
 	SlackOrder bool
-	// FairShare shares a class's turn between workspaces.
+	// FairShare divides a class's capacity between workspaces.
 	FairShare bool
-	// MinShare serves classes whose oldest request waited too long.
+	// MinShare serves a class whose oldest request has waited too long.
 	MinShare bool
-	// LengthEstimates refuses by estimated length what can be of no more use.
+	// LengthEstimates refuses waiting requests expected to finish too late.
 	LengthEstimates bool
-	// Admission refuses newcomers that would be of no use even at once.
+	// Admission refuses arriving requests expected to finish too late.
 	Admission bool
-	// AdaptiveLimits learns the replicas' limits; without it they are fixed.
+	// AdaptiveLimits adapts the concurrency limits of the replicas.
 	AdaptiveLimits bool
-	// StragglerDetection keeps requests from replicas that are much too slow.
+	// StragglerDetection limits the requests sent to slow replicas.
 	StragglerDetection bool
-	// ExpectedFinish chooses by expected finish; without it by the power of
-	// two choices.
+	// ExpectedFinish replaces the power of two choices for choosing a replica.
 	ExpectedFinish bool
 }
 
-// Baseline names all of them: what is left is the order by tier and arrival,
-// fixed slots and the power of two choices.
+// Baseline disables all features.
 var Baseline = Features{
 	SlackOrder: true, FairShare: true, MinShare: true, LengthEstimates: true,
 	Admission: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true,
--- a/internal/router/main_test.go
+++ b/internal/router/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the property tests' seed: the verdict is the same every time.
+// TestMain fixes the seed of the property tests.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20260306", "rapid.nofailfile": "true"} {
--- a/internal/router/options.go
+++ b/internal/router/options.go
@@ -7,36 +7,34 @@
 	"galenatrestle/internal/config"
 )
 
-// Defaults of the options and of the classes' settings.
+// Defaults of Options and of class settings, and bounds of RetryAfter.
 const (
-	defaultSlots      = 8
-	defaultQueueBound = 1000
-	defaultMaxWaiting = 4000
-	usualGain         = 0.5
-	minRetryAfter     = time.Second
-	maxRetryAfter     = time.Minute
+	defaultSlots       = 8
+	defaultQueueBound  = 1000
+	defaultMaxWaiting  = 4000
+	initialCacheSaving = 0.5
+	minRetryAfter      = time.Second
+	maxRetryAfter      = time.Minute
 )
 
-// Options are what a Pool is created with.
+// Options configures NewPool.
 type Options struct {
-	// Upstream the pool decides for.
+	// Upstream is the name of the upstream that the pool serves.
 	Upstream string
-	// AvailabilityZone of this node.
+	// AvailabilityZone is the zone of this node.
 	AvailabilityZone string
-	// Rand is the source of the pool's random choices; nil takes a fixed seed.
+	// Rand is the source of random choices. Default: a fixed seed.
 	Rand *rand.Rand
-	// Classes, Replicas and Weights are the configuration to start with.
-	// Weights holds the workspaces' fair shares; 1 where one is missing.
+	// Classes, Replicas and Weights are the initial configuration. Weights are the fair-share
+	// weights of the workspaces; a missing one counts as 1.
 	Classes  []config.Class
 	Replicas []Replica
 	Weights  map[string]float64
-	// MaxWaiting bounds the waiting requests of all classes together. Default
-	// 4000.
+	// MaxWaiting bounds the waiting requests of all classes together. Default 4000.
 	MaxWaiting int
-	// MaxSketches bounds the length estimates kept by workspace; zero takes
-	// estimate.DefaultMaxSketches.
+	// MaxSketches bounds the length estimates. Default estimate.DefaultMaxSketches.
 	MaxSketches int
-	// Disabled takes decisions out, for measurements.
+	// Disabled turns off parts of the decision logic, for measurements.
 	Disabled Features
 }
 
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -12,65 +12,63 @@
 	"galenatrestle/internal/scheduler"
 )
 
-// Pool decides for one upstream at one node. Each request that Submit admits
-// ends in exactly one of a binding or a refusal by Next, or a Cancel.
+// Pool schedules the requests of one node to the replicas of one upstream. Each
+// request admitted by Submit is bound or refused by Decide, or removed by Cancel,
+// exactly once.
 type Pool struct {
-	upstream string
-	zone     string
-	rand     *rand.Rand
-	without  Features
-	// maxWaiting bounds the waiting requests of all classes together.
+	upstream   string
+	zone       string
+	rand       *rand.Rand
+	disabled   Features
 	maxWaiting int
 	classes    map[string]*classState
 	replicas   map[string]*replicaState
-	// order lists the replicas in the order they were configured.
-	order    []*replicaState
-	waiting  map[string]*item
-	running  map[string]*running
-	queue    *scheduler.Queue[*waiting]
-	lengths  *estimate.Lengths
-	speed    estimate.Speed
-	balancer balancer.Policy
-	// usual is the replicas' usual time between tokens, reference that of
-	// an almost idle one, both in seconds; comparedAt is when they were
-	// worked out.
-	usual          float64
-	reference      float64
-	comparedAt     time.Time
-	longestPrefill time.Duration
-	// cacheGain is the part of a prefill that a cached prefix saves.
-	cacheGain   float64
+	// orderedReplicas is in configuration order.
+	orderedReplicas []*replicaState
+	waiting         map[string]*item
+	running         map[string]*runningRequest
+	queue           *scheduler.Queue[*waitingRequest]
+	lengths         *estimate.Lengths
+	speed           estimate.Speed
+	balancer        balancer.Policy
+	// Times between tokens in seconds: the median of the replicas, and that of an idle one.
+	medianTokenTime   float64
+	idleTokenTime     float64
+	slownessUpdatedAt time.Time
+	longestPrefill    time.Duration
+	// cacheSaving is the fraction of the prefill time saved by a fully cached prompt.
+	cacheSaving float64
 	highestTier int
-	// Buffers that are used again.
-	values     []float64
-	free       []*replicaState
-	candidates []balancer.Candidate
-	// shed holds refusals that the next Next returns.
-	shed []Decision
-	// changedAt is when something changed that Next has not yet looked at.
+	// Buffers reused between calls.
+	medianBuffer    []float64
+	freeBuffer      []*replicaState
+	candidateBuffer []balancer.Candidate
+	// shedDecisions are returned by the next call of Decide.
+	shedDecisions []Decision
+	// changedAt is the time of the last change that needs a call of Decide, or zero.
 	changedAt time.Time
 	stats     Stats
 }
 
-// NewPool returns an empty pool.
+// NewPool returns a pool without requests.
 func NewPool(options Options) *Pool {
 	options = options.withDefaults()
 	p := &Pool{
-		upstream:   options.Upstream,
-		zone:       options.AvailabilityZone,
-		rand:       options.Rand,
-		without:    options.Disabled,
-		maxWaiting: options.MaxWaiting,
-		classes:    make(map[string]*classState),
-		replicas:   make(map[string]*replicaState),
-		waiting:    make(map[string]*item),
-		running:    make(map[string]*running),
-		queue:      scheduler.NewQueue[*waiting](),
-		lengths:    estimate.NewLengths(options.MaxSketches),
-		balancer:   balancer.ExpectedFinish{Rand: options.Rand},
-		cacheGain:  usualGain,
-	}
-	if p.without.ExpectedFinish {
+		upstream:    options.Upstream,
+		zone:        options.AvailabilityZone,
+		rand:        options.Rand,
+		disabled:    options.Disabled,
+		maxWaiting:  options.MaxWaiting,
+		classes:     make(map[string]*classState),
+		replicas:    make(map[string]*replicaState),
+		waiting:     make(map[string]*item),
+		running:     make(map[string]*runningRequest),
+		queue:       scheduler.NewQueue[*waitingRequest](),
+		lengths:     estimate.NewLengths(options.MaxSketches),
+		balancer:    balancer.ExpectedFinish{Rand: options.Rand},
+		cacheSaving: initialCacheSaving,
+	}
+	if p.disabled.ExpectedFinish {
 		p.balancer = balancer.TwoChoices{Rand: options.Rand}
 	}
 	p.SetClasses(time.Time{}, options.Classes)
@@ -79,8 +77,7 @@
 	return p
 }
 
-// SetClasses puts a new list of classes in force. Requests of a class that is
-// no longer listed go on under its last settings.
+// SetClasses replaces the classes. Requests of a removed class keep its last settings.
 func (p *Pool) SetClasses(now time.Time, classes []config.Class) {
 	listed := make(map[string]bool, len(classes))
 	for _, class := range classes {
@@ -91,7 +88,7 @@
 		state.retired = !listed[name]
 	}
 	p.highestTier = highestTier(classes)
-	p.forgetRetired()
+	p.deleteRetiredClasses()
 	p.changedAt = now
 }
 
@@ -104,7 +101,7 @@
 }
 
 func (p *Pool) setClass(class config.Class) {
-	p.queue.SetClass(schedulerClass(class, p.without))
+	p.queue.SetClass(schedulerClass(class, p.disabled))
 	state, ok := p.classes[class.Name]
 	if !ok {
 		state = &classState{}
@@ -113,8 +110,7 @@
 	state.Class = class
 }
 
-// forgetRetired drops the retired classes in which nothing waits or runs.
-func (p *Pool) forgetRetired() {
+func (p *Pool) deleteRetiredClasses() {
 	for name, state := range p.classes {
 		if state.retired && state.waiting+state.running == 0 {
 			delete(p.classes, name)
@@ -124,29 +120,28 @@
 	p.lengths.SetClasses(func(class string) bool { return p.classes[class] != nil })
 }
 
-// SetWeights puts the workspaces' fair shares in force.
+// SetWeights replaces the fair-share weights of the workspaces.
 func (p *Pool) SetWeights(weights map[string]float64) {
 	p.queue.SetWeights(weights)
 }
 
-// Submit admits a request to the queue or refuses it at once. A request that
-// waits or runs already is refused as in progress: a second attempt in parallel
-// needs an ID of its own. Call Next afterwards.
+// Submit queues a request or refuses it at once. IDs that are waiting or running are refused,
+// so a hedged attempt needs an ID of its own. The caller must call Decide afterwards.
 func (p *Pool) Submit(now time.Time, request Request) *refusal.Error {
 	class, ok := p.classes[request.Class]
 	if !ok || class.retired {
 		return refuseUnknownClass(&request)
 	}
-	if p.known(request.ID) {
-		return refuse(&request, refusal.InProgress, stepAdmit, "the request waits or runs already", 0)
+	if p.inProgress(request.ID) {
+		return refuse(&request, refusal.InProgress, stepAdmit, "a request with this ID is already waiting or running", 0)
 	}
 	if !request.GiveUpAt.After(now) {
-		return refuse(&request, refusal.TooLate, stepAdmit, "the answer would be of no use any more", 0)
+		return refuse(&request, refusal.TooLate, stepAdmit, "the request's time limit has already passed", 0)
 	}
-	if !p.anyOpen() {
+	if !p.anyAcceptsNew() {
 		return refuse(&request, refusal.NoReplica, stepAdmit, "no replica takes new requests", 0)
 	}
-	if !p.hopeful(now, &request, class) {
+	if !p.mayFinishInTime(now, &request, class) {
 		return refuse(&request, refusal.TooLate, stepAdmit, "an answer is expected to take longer than it is of use", 0)
 	}
 	if class.waiting >= class.QueueBound || !p.makeRoom(now, class) {
@@ -156,25 +151,23 @@
 	return nil
 }
 
-// hopeful says whether the request may be of use if it ran at once. It is asked
-// only while requests of the same or a higher tier wait: a request is never
-// refused by expectation for the sake of lower tiers, or of an idle replica.
-func (p *Pool) hopeful(now time.Time, request *Request, class *classState) bool {
+// mayFinishInTime rejects requests, apart from probes, that are expected to finish too late even if
+// they start at once. It accepts all while no request of the same or a higher tier waits.
+func (p *Pool) mayFinishInTime(now time.Time, request *Request, class *classState) bool {
 	first := p.queue.FirstTier()
-	if p.without.Admission || first < 0 || first > class.Tier {
+	if p.disabled.Admission || first < 0 || first > class.Tier {
 		return true
 	}
-	return class.gate.Admit(p.service(request, estimate.Median), request.GiveUpAt.Sub(now))
+	return class.gate.Admit(p.serviceTime(request, estimate.Median), request.GiveUpAt.Sub(now))
 }
 
-func (p *Pool) known(id string) bool {
+func (p *Pool) inProgress(id string) bool {
 	_, waits := p.waiting[id]
 	_, runs := p.running[id]
 	return waits || runs
 }
 
-// makeRoom sheds a request of the lowest tier, if that is below class's, where
-// the pool is full.
+// makeRoom sheds a request of a lower tier if the pool is full. It returns false if it cannot.
 func (p *Pool) makeRoom(now time.Time, class *classState) bool {
 	if p.queue.Len() < p.maxWaiting {
 		return true
@@ -183,7 +176,7 @@
 	if victim == nil {
 		return false
 	}
-	p.shed = append(p.shed, p.giveUp(victim, refusal.ShedForHigher, "requests of a higher tier took its place"))
+	p.shedDecisions = append(p.shedDecisions, p.refuseWaiting(victim, refusal.ShedForHigher, "the queue is full and a request of a higher tier took its place"))
 	p.changedAt = now
 	return true
 }
@@ -197,39 +190,37 @@
 	p.changedAt = now
 }
 
-// Cancel takes a waiting request out. It does nothing for one that does not wait.
+// Cancel removes a waiting request; other IDs are ignored.
 func (p *Pool) Cancel(now time.Time, id string) {
 	i, ok := p.waiting[id]
 	if !ok {
 		return
 	}
 	p.queue.Remove(i)
-	p.leave(i)
+	p.untrackWaiting(i)
 	p.stats.Cancelled++
 	p.changedAt = now
 }
 
-// leave takes a request that left the queue out of the counts.
-func (p *Pool) leave(i *item) {
+func (p *Pool) untrackWaiting(i *item) {
 	i.Value.class.waiting--
 	delete(p.waiting, i.Value.request.ID)
 }
 
-// Deadline returns when Next must be called again at the latest; zero is never.
+// Deadline returns the latest time for the next call of Decide; zero if none is needed.
 func (p *Pool) Deadline(now time.Time) time.Time {
 	if !p.changedAt.IsZero() {
 		return now
 	}
-	next := earlier(p.queue.NextExpiry(), p.reopens(now))
-	if p.queue.Len() == 0 || !p.anyFree(now) {
+	next := earlier(p.queue.NextExpiry(), p.nextProbeAt(now))
+	if p.queue.Len() == 0 || !p.anyHasFreeSlot(now) {
 		return next
 	}
-	// Requests wait though a replica is free: it is a straggler, which is
-	// forgotten with time.
-	return earlier(next, now.Add(lookAgain))
+	// The free replicas are stragglers, whose slowness decays with time.
+	return earlier(next, now.Add(stragglerRecheckInterval))
 }
 
-// earlier returns the earlier of two times, of which zero is never.
+// earlier returns the earlier of two times; zero means never.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -237,5 +228,4 @@
 	return a
 }
 
-// lookAgain is when to look again at a free straggler.
-const lookAgain = 250 * time.Millisecond
+const stragglerRecheckInterval = 250 * time.Millisecond
--- a/internal/router/pool_choose.go
+++ b/internal/router/pool_choose.go
@@ -8,77 +8,75 @@
 	"galenatrestle/internal/estimate"
 )
 
-// choose returns the replica for the request and the grounds, or nil where none
-// of the free ones is fit for it.
+// choose returns a replica with a free slot that suits the request, or nil.
 func (p *Pool) choose(now time.Time, request *Request) (*replicaState, Choice) {
-	free := p.elsewhere(request, p.fit(now, request))
+	free := p.preferUntriedZones(request, p.eligibleReplicas(now, request))
 	if len(free) == 0 {
 		return nil, Choice{}
 	}
-	p.candidates = p.candidates[:0]
+	p.candidateBuffer = p.candidateBuffer[:0]
 	for _, r := range free {
-		p.candidates = append(p.candidates, p.candidate(now, request, r))
+		p.candidateBuffer = append(p.candidateBuffer, p.candidate(now, request, r))
 	}
 	need := balancer.Need{
 		Prefill: p.speed.Service(request.PromptTokens, 0),
-		Answer:  p.speed.Service(0, p.length(request, estimate.Median, usualTokens)),
+		Answer:  p.speed.Service(0, p.answerTokens(request, estimate.Median, defaultAnswerTokens)),
 	}
-	chosen := p.balancer.Choose(need, p.candidates)
-	return free[chosen], choiceOf(&p.candidates[chosen], len(free))
+	chosen := p.balancer.Choose(need, p.candidateBuffer)
+	return free[chosen], choiceOf(&p.candidateBuffer[chosen], len(free))
 }
 
 func (p *Pool) candidate(now time.Time, request *Request, r *replicaState) balancer.Candidate {
 	c := balancer.Candidate{
 		Running: r.running, Limit: r.limit(), Slowness: r.slowness,
-		Cached:          p.cacheGain * r.prefixes.Match(request.PrefixHashes),
+		Cached:          p.cacheSaving * r.prefixes.Match(request.PrefixHashes),
 		SameZone:        r.AvailabilityZone == p.zone,
-		ReportedRunning: r.report.Running,
+		ReportedRunning: r.lastReport.Running,
 		ReportAge:       -1,
 	}
-	if !r.report.At.IsZero() {
-		c.ReportAge = max(now.Sub(r.report.At), 0)
+	if !r.lastReport.At.IsZero() {
+		c.ReportAge = max(now.Sub(r.lastReport.At), 0)
 	}
 	return c
 }
 
-// fit lists the free replicas for the request: of those that it need not avoid
-// the ones fast enough for it. It waits for these while one of them works; else
-// a straggler is better than none, and one to avoid better than waiting for none.
-func (p *Pool) fit(now time.Time, request *Request) []*replicaState {
-	p.free = p.free[:0]
-	worthWaiting := false
-	for _, r := range p.order {
+// eligibleReplicas lists the free replicas that are fast enough and not to be avoided. It returns
+// none if all such replicas are busy and one of them is healthy, so that the request waits for
+// it. Otherwise it falls back to stragglers, and then to replicas to avoid.
+func (p *Pool) eligibleReplicas(now time.Time, request *Request) []*replicaState {
+	p.freeBuffer = p.freeBuffer[:0]
+	healthyExists := false
+	for _, r := range p.orderedReplicas {
 		if request.avoids(r) || !p.fastEnough(now, request, r) {
 			continue
 		}
-		worthWaiting = worthWaiting || r.works(now)
-		if r.free(now) {
-			p.free = append(p.free, r)
+		healthyExists = healthyExists || r.healthy(now)
+		if r.hasFreeSlot(now) {
+			p.freeBuffer = append(p.freeBuffer, r)
 		}
 	}
-	if worthWaiting || len(p.free) > 0 {
-		return p.free
+	if healthyExists || len(p.freeBuffer) > 0 {
+		return p.freeBuffer
 	}
-	for _, r := range p.order {
-		if r.free(now) && !request.avoids(r) {
-			p.free = append(p.free, r)
+	for _, r := range p.orderedReplicas {
+		if r.hasFreeSlot(now) && !request.avoids(r) {
+			p.freeBuffer = append(p.freeBuffer, r)
 		}
 	}
-	if len(p.free) > 0 {
-		return p.free
+	if len(p.freeBuffer) > 0 {
+		return p.freeBuffer
 	}
-	for _, r := range p.order {
-		if r.free(now) {
-			p.free = append(p.free, r)
+	for _, r := range p.orderedReplicas {
+		if r.hasFreeSlot(now) {
+			p.freeBuffer = append(p.freeBuffer, r)
 		}
 	}
-	return p.free
+	return p.freeBuffer
 }
 
-// elsewhere keeps the replicas in availability zones in which the request has not
-// failed yet, where there are any: what one attempt met may have hit its whole
-// zone.
-func (p *Pool) elsewhere(request *Request, free []*replicaState) []*replicaState {
+// preferUntriedZones drops replicas in zones where the request has failed, if others are left,
+// because the failure may affect the whole zone.
+func (p *Pool) preferUntriedZones(request *Request, free []*replicaState) []*replicaState {
 	failed := func(r *replicaState) bool {
 		return slices.ContainsFunc(request.Avoid, func(name string) bool {
 			tried, ok := p.replicas[name]
@@ -95,23 +93,22 @@
 	return slices.Contains(r.Avoid, replica.Name)
 }
 
-// fastEnough says whether a straggler may be tried with the request: not with
-// one of the highest tier, and only where the target leaves time for it.
+// fastEnough accepts a straggler only below the highest tier and if the target can still be met.
 func (p *Pool) fastEnough(now time.Time, request *Request, r *replicaState) bool {
-	if !r.suspect() {
+	if !r.isStraggler() {
 		return true
 	}
 	if request.Tier == p.highestTier {
 		return false
 	}
-	slow := time.Duration(r.slowness * float64(p.service(request, estimate.P90)))
+	slow := time.Duration(r.slowness * float64(p.serviceTime(request, estimate.P90)))
 	return !request.AnswerBy.IsZero() && now.Add(slow).Before(request.AnswerBy)
 }
 
-func (p *Pool) anyFree(now time.Time) bool {
-	return slices.ContainsFunc(p.order, func(r *replicaState) bool { return r.free(now) })
+func (p *Pool) anyHasFreeSlot(now time.Time) bool {
+	return slices.ContainsFunc(p.orderedReplicas, func(r *replicaState) bool { return r.hasFreeSlot(now) })
 }
 
-func (p *Pool) anyOpen() bool {
-	return slices.ContainsFunc(p.order, (*replicaState).open)
+func (p *Pool) anyAcceptsNew() bool {
+	return slices.ContainsFunc(p.orderedReplicas, (*replicaState).acceptsNew)
 }
--- a/internal/router/pool_circuit_test.go
+++ b/internal/router/pool_circuit_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// TestCrashedReplicaDoesNotDrawAllRequests binds requests to two replicas of
-// which one fails each at once: by its empty slots it looks the best.
-func TestCrashedReplicaDoesNotDrawAllRequests(t *testing.T) {
+// A failing replica always has free slots and must not attract the requests.
+func TestCrashingReplicaReceivesOnlyProbes(t *testing.T) {
 	pool := testPool(4, "good", "bad")
 	now := time.Unix(100, 0)
 	const requests = 400
@@ -18,28 +17,27 @@
 		if refused := pool.Submit(now, request); refused != nil {
 			t.Fatal(refused)
 		}
-		for _, event := range pool.Decide(now) {
-			if event.Refused != nil {
-				t.Fatal(event.Refused)
+		for _, decision := range pool.Decide(now) {
+			if decision.Refused != nil {
+				t.Fatal(decision.Refused)
 			}
 			result := ResultDone
-			if event.Replica.Name == "bad" {
+			if decision.Replica.Name == "bad" {
 				onBad++
 				result = ResultCrashed
 			}
-			pool.Finish(now, event.ID, result)
+			pool.Finish(now, decision.ID, result)
 		}
 		now = now.Add(time.Millisecond)
 	}
-	// 400 ms hold few probes at waits of 50 to 100 ms and double those.
+	// Waits of 50 to 100 ms that double allow few probes in 400 ms.
 	if onBad == 0 || onBad > 8 {
-		t.Errorf("%d of %d requests went to the replica that fails, want 1 to 8", onBad, requests)
+		t.Errorf("%d of %d requests were bound to the failing replica, want 1 to 8", onBad, requests)
 	}
 }
 
-// TestProbeIsADeadline lets the only replica fail and checks that the waiting
-// request is bound when the circuit lets a probe through.
-func TestProbeIsADeadline(t *testing.T) {
+// If the only replica fails, a waiting request must be bound at the next circuit probe.
+func TestDeadlineIncludesCircuitProbe(t *testing.T) {
 	pool := testPool(1, "only")
 	now := time.Unix(100, 0)
 	for _, id := range []string{"first", "second"} {
@@ -49,18 +47,18 @@
 	}
 	pool.Decide(now)
 	pool.Finish(now, "first", ResultCrashed)
-	if events := pool.Decide(now); len(events) != 0 {
-		t.Fatalf("bound at once to a replica that just failed: %+v", events)
+	if decisions := pool.Decide(now); len(decisions) != 0 {
+		t.Fatalf("bound at once to a replica that just failed: %+v", decisions)
 	}
 	probe := pool.Deadline(now)
 	if !probe.After(now) || probe.After(now.Add(time.Second)) {
 		t.Fatalf("deadline %s, want within a second of %s", probe, now)
 	}
-	events := pool.Decide(probe)
-	if len(events) != 1 || events[0].ID != "second" || events[0].Replica == nil {
-		t.Fatalf("at the probe: %+v, want the second request bound", events)
+	decisions := pool.Decide(probe)
+	if len(decisions) != 1 || decisions[0].ID != "second" || decisions[0].Replica == nil {
+		t.Fatalf("Decide at the probe time = %+v, want the second request bound", decisions)
 	}
 	if next := pool.Deadline(probe); !next.IsZero() && !next.After(probe) {
-		t.Errorf("deadline %s is not after %s: the driver would spin", next, probe)
+		t.Errorf("deadline %s is not after %s: the caller would loop without pause", next, probe)
 	}
 }
--- a/internal/router/pool_model_test.go
+++ b/internal/router/pool_model_test.go
@@ -17,8 +17,8 @@
 	}
 	m.waiting[r.ID] = r
 	m.requests[r.ID] = r
-	for _, event := range m.pool.shed {
-		victim := m.requests[event.ID]
+	for _, decision := range m.pool.shedDecisions {
+		victim := m.requests[decision.ID]
 		if victim.Tier <= r.Tier || victim.Tier != lowest {
 			m.t.Fatalf("tier %d shed for tier %d while tier %d waited", victim.Tier, r.Tier, lowest)
 		}
@@ -52,27 +52,26 @@
 }
 
 func (m *model) next() {
-	for _, event := range m.pool.Decide(m.now) {
-		r, ok := m.waiting[event.ID]
+	for _, decision := range m.pool.Decide(m.now) {
+		r, ok := m.waiting[decision.ID]
 		if !ok {
-			m.t.Fatalf("event for %s, which does not wait", event.ID)
+			m.t.Fatalf("decision for %s, which is not waiting", decision.ID)
 		}
-		delete(m.waiting, event.ID)
-		if event.Refused != nil {
-			m.checkRefusal(r, event.Refused)
-			m.end(event.ID, "refused")
+		delete(m.waiting, decision.ID)
+		if decision.Refused != nil {
+			m.checkRefusal(r, decision.Refused)
+			m.end(decision.ID, "refused")
 			continue
 		}
-		if m.leaving[event.Replica.Name] {
-			m.t.Fatalf("%s bound to leaving %s", event.ID, event.Replica.Name)
+		if m.leaving[decision.Replica.Name] {
+			m.t.Fatalf("%s bound to leaving %s", decision.ID, decision.Replica.Name)
 		}
-		m.running[event.ID] = event.Replica.Name
+		m.running[decision.ID] = decision.Replica.Name
 	}
-	m.check()
+	m.checkCounts()
 }
 
-// checkRefusal checks that a request that waited was given up for its own time
-// alone, or for a higher tier.
+// checkRefusal accepts the refusal of a waiting request for its time limit or a higher tier only.
 func (m *model) checkRefusal(r Request, refused *refusal.Error) {
 	switch refused.Reason {
 	case refusal.ShedForHigher:
@@ -88,8 +87,7 @@
 	}
 }
 
-// check compares the books after Next.
-func (m *model) check() {
+func (m *model) checkCounts() {
 	perReplica := make(map[string]int)
 	shared := make(map[string]int)
 	for id, name := range m.running {
@@ -105,35 +103,33 @@
 		}
 	}
 	if len(m.pool.waiting) != len(m.waiting) || m.pool.queue.Len() != len(m.waiting) || len(m.pool.running) != len(m.running) {
-		m.t.Fatalf("pool holds %d waiting, %d running; want %d, %d", len(m.pool.waiting), len(m.pool.running), len(m.waiting), len(m.running))
+		m.t.Fatalf("pool has %d waiting, %d running; want %d, %d", len(m.pool.waiting), len(m.pool.running), len(m.waiting), len(m.running))
 	}
 	for class, n := range shared {
-		if most := 20; n > max(1, most*3/10) {
-			m.t.Fatalf("class %s holds %d slots by its share", class, n)
+		if totalSlots := 20; n > max(1, totalSlots*3/10) {
+			m.t.Fatalf("class %s uses %d slots by its minimum share", class, n)
 		}
 	}
 	m.checkWaiting()
 }
 
-// checkWaiting checks that none waits past its time, and that none that could
-// run now is left waiting.
+// checkWaiting checks that no request waits past its time limit or while a replica is free.
 func (m *model) checkWaiting() {
 	for _, r := range m.waiting {
 		if !r.GiveUpAt.After(m.now) {
 			m.t.Fatalf("%s waits past its time", r.ID)
 		}
-		if len(r.Avoid) == 0 && m.anyFast() {
+		if len(r.Avoid) == 0 && m.anyFreeNonStraggler() {
 			m.t.Fatalf("%s waits while a replica is free", r.ID)
 		}
 	}
 	if len(m.waiting) > 0 && m.pool.Deadline(m.now).IsZero() {
-		m.t.Fatal("requests wait and Deadline is zero")
+		m.t.Fatal("Deadline is zero while requests wait")
 	}
 }
 
-// anyFast says whether a replica is free that is not taken for a straggler.
-func (m *model) anyFast() bool {
-	return slices.ContainsFunc(m.pool.order, func(r *replicaState) bool {
-		return r.free(m.now) && !r.suspect()
+func (m *model) anyFreeNonStraggler() bool {
+	return slices.ContainsFunc(m.pool.orderedReplicas, func(r *replicaState) bool {
+		return r.hasFreeSlot(m.now) && !r.isStraggler()
 	})
 }
--- a/internal/router/pool_next.go
+++ b/internal/router/pool_next.go
@@ -6,79 +6,77 @@
 	"galenatrestle/internal/refusal"
 )
 
-// Decide returns all bindings and refusals that are due at now.
+// Decide returns all bindings and refusals due at the given time.
 func (p *Pool) Decide(now time.Time) []Decision {
-	events := p.shed
-	p.shed = nil
-	p.comparePace(now)
-	events = p.expire(now, events)
-	events = p.bindAll(now, events)
+	decisions := p.shedDecisions
+	p.shedDecisions = nil
+	p.updateSlowness(now)
+	decisions = p.expire(now, decisions)
+	decisions = p.bindAll(now, decisions)
 	p.changedAt = time.Time{}
-	return events
+	return decisions
 }
 
-func (p *Pool) expire(now time.Time, events []Decision) []Decision {
+func (p *Pool) expire(now time.Time, decisions []Decision) []Decision {
 	for i := p.queue.Expired(now); i != nil; i = p.queue.Expired(now) {
-		events = append(events, p.giveUpLate(now, i))
+		decisions = append(decisions, p.refuseExpired(now, i))
 	}
-	return events
+	return decisions
 }
 
-// giveUpLate refuses a request that is of no more use.
-func (p *Pool) giveUpLate(now time.Time, i *item) Decision {
+func (p *Pool) refuseExpired(now time.Time, i *item) Decision {
 	if i.Value.request.GiveUpAt.After(now) {
-		return p.giveUp(i, refusal.TooLate, "the answer would come too late to be of use")
+		return p.refuseWaiting(i, refusal.TooLate, "the answer would come too late to be of use")
 	}
-	return p.giveUp(i, refusal.GaveUpWaiting, "no replica came free in time")
+	return p.refuseWaiting(i, refusal.GaveUpWaiting, "no replica had a free slot in time")
 }
 
-// giveUp refuses a request that has left the queue.
-func (p *Pool) giveUp(i *item, reason refusal.Reason, message string) Decision {
-	p.leave(i)
+// refuseWaiting refuses a request that has left the queue.
+func (p *Pool) refuseWaiting(i *item, reason refusal.Reason, message string) Decision {
+	p.untrackWaiting(i)
 	p.stats.Refused++
 	w := i.Value
 	refused := refuse(&w.request, reason, stepQueue, message, w.class.GiveUpAfter.Std()/2)
 	return Decision{ID: w.request.ID, Refused: refused}
 }
 
-// maxPassed bounds the requests that one Next passes over.
-const maxPassed = 16
+// maxSkipped bounds the requests skipped by one call of Decide.
+const maxSkipped = 16
 
-// bindAll binds requests while a replica is free. One for which no free replica
-// is fit is passed over and keeps its place.
-func (p *Pool) bindAll(now time.Time, events []Decision) []Decision {
-	var passed []*item
-	slots := p.slots()
-	for p.anyFree(now) && len(passed) < maxPassed {
+// bindAll binds requests to free replicas. A request that none of them suits is skipped and keeps
+// its place in the queue.
+func (p *Pool) bindAll(now time.Time, decisions []Decision) []Decision {
+	var skipped []*item
+	slots := p.totalSlots()
+	for p.anyHasFreeSlot(now) && len(skipped) < maxSkipped {
 		i := p.queue.Pop(now, slots)
 		if i == nil {
 			break
 		}
-		if !p.uselessFrom(&i.Value.request).After(now) {
-			// The estimate has grown since the request came.
+		if !p.latestUsefulStart(&i.Value.request).After(now) {
+			// The estimated service time has grown since the request arrived.
 			p.queue.Restore(now, i)
 			p.queue.Remove(i)
-			events = append(events, p.giveUpLate(now, i))
+			decisions = append(decisions, p.refuseExpired(now, i))
 			continue
 		}
 		replica, choice := p.choose(now, &i.Value.request)
 		if replica == nil {
-			passed = append(passed, i)
+			skipped = append(skipped, i)
 			continue
 		}
-		events = append(events, p.bind(now, i, replica, choice))
+		decisions = append(decisions, p.bind(now, i, replica, choice))
 	}
-	for _, i := range passed {
+	for _, i := range skipped {
 		p.queue.Restore(now, i)
 	}
-	return events
+	return decisions
 }
 
-// slots is the limit of all open replicas together.
-func (p *Pool) slots() int {
+func (p *Pool) totalSlots() int {
 	slots := 0
-	for _, r := range p.order {
-		if r.open() {
+	for _, r := range p.orderedReplicas {
+		if r.acceptsNew() {
 			slots += r.limit()
 		}
 	}
@@ -86,7 +84,7 @@
 }
 
 func (p *Pool) bind(now time.Time, i *item, replica *replicaState, choice Choice) Decision {
-	p.leave(i)
+	p.untrackWaiting(i)
 	p.stats.Bound++
 	i.Value.class.running++
 	if replica.running == 0 {
@@ -94,11 +92,11 @@
 	}
 	replica.running++
 	replica.circuit.Bound()
-	replica.learned.Used(replica.running, p.urgent())
+	replica.learnedLimit.Used(replica.running, p.highestTierWaits())
 	cached := replica.prefixes.Match(i.Value.request.PrefixHashes)
 	replica.prefixes.Add(i.Value.request.PrefixHashes)
 	id := i.Value.request.ID
-	p.running[id] = &running{item: i, replica: replica, boundAt: now, cached: cached}
+	p.running[id] = &runningRequest{item: i, replica: replica, boundAt: now, cached: cached}
 	chosen := replica.Replica
 	return Decision{ID: id, Replica: &chosen, Choice: choice}
 }
--- a/internal/router/pool_pace.go
+++ b/internal/router/pool_pace.go
@@ -6,69 +6,66 @@
 )
 
 const (
-	// paceEvery is how often the pool compares its replicas' pace.
-	paceEvery = 50 * time.Millisecond
-	// firstTokenSlack is how much longer than usual a first token may take
-	// before the replica's silence counts.
-	firstTokenSlack = 2
+	slownessInterval = 50 * time.Millisecond
+	// firstTokenSlackFactor times the longest prefill is the silence that does not count as
+	// slowness.
+	firstTokenSlackFactor = 2
 )
 
-// comparePace works out the pool's usual pace and finds stragglers.
-func (p *Pool) comparePace(now time.Time) {
-	if now.Sub(p.comparedAt) < paceEvery {
+func (p *Pool) updateSlowness(now time.Time) {
+	if now.Sub(p.slownessUpdatedAt) < slownessInterval {
 		return
 	}
-	p.comparedAt = now
-	p.usual = p.median(func(r *replicaState) float64 { return r.pace.Average() })
-	p.reference = p.median(func(r *replicaState) float64 { return r.floor.Value() })
-	p.speed.SetToken(p.usual)
-	if p.without.StragglerDetection {
+	p.slownessUpdatedAt = now
+	p.medianTokenTime = p.median(func(r *replicaState) float64 { return r.pace.Average() })
+	p.idleTokenTime = p.median(func(r *replicaState) float64 { return r.tokenTimeFloor.Value() })
+	p.speed.SetToken(p.medianTokenTime)
+	if p.disabled.StragglerDetection {
 		return
 	}
-	for _, r := range p.order {
-		r.slowness = r.pace.Slowness(now, p.usual, r.running, p.patience())
+	for _, r := range p.orderedReplicas {
+		r.slowness = r.pace.Slowness(now, p.medianTokenTime, r.running, p.allowedSilence())
 	}
-	p.treatStragglers(now)
+	p.limitStragglers(now)
 }
 
-// treatStragglers shrinks the limits of the stragglers, or acquits them where
-// no other replica works: slow ones are then the best there are.
-func (p *Pool) treatStragglers(now time.Time) {
-	works := slices.ContainsFunc(p.order, func(r *replicaState) bool {
-		return r.works(now) && !r.suspect()
+// limitStragglers shrinks the limits of stragglers. They count as normal while no faster replica
+// is healthy.
+func (p *Pool) limitStragglers(now time.Time) {
+	healthyExists := slices.ContainsFunc(p.orderedReplicas, func(r *replicaState) bool {
+		return r.healthy(now) && !r.isStraggler()
 	})
-	for _, r := range p.order {
+	for _, r := range p.orderedReplicas {
 		switch {
-		case !r.suspect():
-		case !works:
+		case !r.isStraggler():
+		case !healthyExists:
 			r.slowness = 1
-		case !p.without.AdaptiveLimits:
-			r.learned.Shrink()
+		case !p.disabled.AdaptiveLimits:
+			r.learnedLimit.Shrink()
 		}
 	}
 }
 
-// urgent says whether a request of the highest tier waits.
-func (p *Pool) urgent() bool {
+func (p *Pool) highestTierWaits() bool {
 	return p.queue.FirstTier() == p.highestTier
 }
 
-// patience is how long a replica may be silent while it reads a long prompt.
-func (p *Pool) patience() time.Duration {
-	return firstTokenSlack * p.longestPrefill
+// allowedSilence covers the prefill of a long prompt, during which no token arrives.
+func (p *Pool) allowedSilence() time.Duration {
+	return firstTokenSlackFactor * p.longestPrefill
 }
 
-// median returns the lower median of the replicas' values above zero.
+// median returns the lower median of the positive values of replicas that accept new requests.
 func (p *Pool) median(value func(*replicaState) float64) float64 {
-	p.values = p.values[:0]
-	for _, r := range p.order {
-		if v := value(r); v > 0 && r.open() {
-			p.values = append(p.values, v)
+	p.medianBuffer = p.medianBuffer[:0]
+	for _, r := range p.orderedReplicas {
+		if v := value(r); v > 0 && r.acceptsNew() {
+			p.medianBuffer = append(p.medianBuffer, v)
 		}
 	}
-	if len(p.values) == 0 {
+	if len(p.medianBuffer) == 0 {
 		return 0
 	}
-	slices.Sort(p.values)
-	return p.values[(len(p.values)-1)/2]
+	slices.Sort(p.medianBuffer)
+	return p.medianBuffer[(len(p.medianBuffer)-1)/2]
 }
--- a/internal/router/pool_progress.go
+++ b/internal/router/pool_progress.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// prefillMemory is the number of prefills over which the longest fades.
-	prefillMemory = 1000
-	// gainWeight is the weight of one observation of what a cache saves.
-	gainWeight = 0.02
-	// leastGain is the saving below which a prefix counts as not cached.
-	leastGain = 0.1
+	// longestPrefillDecay is the number of prefills over which the longest decays.
+	longestPrefillDecay = 1000
+	// cacheSavingWeight is the weight of one observation of the saving by caches.
+	cacheSavingWeight = 0.02
+	// minCacheSaving is the saving below which a prefix counts as not cached.
+	minCacheSaving = 0.1
 )
 
-// RecordFirstToken notes that the first token of a running request came.
+// RecordFirstToken records the first token of a running request.
 func (p *Pool) RecordFirstToken(now time.Time, id string) {
 	r, ok := p.running[id]
 	if !ok || !r.firstToken.IsZero() {
@@ -25,29 +25,28 @@
 	p.learnPrefill(&r.item.Value.request, r, now.Sub(r.boundAt))
 }
 
-// learnPrefill corrects what is believed of prefill and caches by what the
-// first token took.
-func (p *Pool) learnPrefill(request *Request, r *running, took time.Duration) {
-	if r.replica.suspect() {
+// learnPrefill updates the prefill speed and the cache saving from the time to the first token.
+func (p *Pool) learnPrefill(request *Request, r *runningRequest, took time.Duration) {
+	if r.replica.isStraggler() {
 		return
 	}
 	if r.cached == 0 {
 		p.speed.Prefill(request.PromptTokens, took)
-		p.longestPrefill = max(p.longestPrefill-p.longestPrefill/prefillMemory, took)
+		p.longestPrefill = max(p.longestPrefill-p.longestPrefill/longestPrefillDecay, took)
 		return
 	}
-	whole := p.speed.Service(request.PromptTokens, 0)
-	if whole <= 0 {
+	uncached := p.speed.Service(request.PromptTokens, 0)
+	if uncached <= 0 {
 		return
 	}
-	gain := min(max(1-took.Seconds()/whole.Seconds(), 0), 1) / r.cached
-	if gain < leastGain {
+	saving := min(max(1-took.Seconds()/uncached.Seconds(), 0), 1) / r.cached
+	if saving < minCacheSaving {
 		r.replica.prefixes.Drop(request.PrefixHashes)
 	}
-	p.cacheGain += gainWeight * (min(gain, 1) - p.cacheGain)
+	p.cacheSaving += cacheSavingWeight * (min(saving, 1) - p.cacheSaving)
 }
 
-// RecordTokens notes that n more tokens of a running request came.
+// RecordTokens records n more tokens of a running request.
 func (p *Pool) RecordTokens(now time.Time, id string, n int) {
 	r, ok := p.running[id]
 	if !ok || n <= 0 {
@@ -59,31 +58,30 @@
 	}
 	r.tokens += n
 	if n > 0 {
-		r.replica.tokens(now, n, now.Sub(r.lastToken), p.reference, !p.without.AdaptiveLimits)
+		r.replica.recordTokens(now, n, now.Sub(r.lastToken), p.idleTokenTime, !p.disabled.AdaptiveLimits)
 	}
 	r.lastToken = now
 }
 
-// Finish notes the end of a running request's attempt and frees its slot.
-// Call Next afterwards. It does nothing for a request that does not run.
+// Finish records the end of an attempt and frees its slot; other IDs are ignored. The caller must
+// call Decide afterwards.
 func (p *Pool) Finish(now time.Time, id string, result Result) {
 	r, ok := p.running[id]
 	if !ok {
 		return
 	}
 	delete(p.running, id)
-	p.learn(now, r, result)
-	p.judge(now, r.replica, result)
-	p.queue.Ended(now, r.item, now.Sub(r.boundAt), p.slots())
+	p.observeLength(now, r, result)
+	p.updateCircuit(now, r.replica, result)
+	p.queue.Ended(now, r.item, now.Sub(r.boundAt), p.totalSlots())
 	r.item.Value.class.running--
 	r.replica.running--
-	p.forgetRemoved()
+	p.deleteRemovedReplicas()
 	p.changedAt = now
 }
 
-// learn takes in the length of a whole answer, or of one that was cut short by
-// its caller; a failed attempt says nothing about the length.
-func (p *Pool) learn(now time.Time, r *running, result Result) {
+// observeLength ignores failed attempts, which say nothing about the answer length.
+func (p *Pool) observeLength(now time.Time, r *runningRequest, result Result) {
 	if result != ResultDone && result != ResultCancelled {
 		return
 	}
@@ -91,9 +89,7 @@
 	p.lengths.Observe(now, request.Class, request.Workspace, r.tokens)
 }
 
-// judge opens a replica's circuit when an attempt failed at once, and closes it
-// when one succeeded.
-func (p *Pool) judge(now time.Time, replica *replicaState, result Result) {
+func (p *Pool) updateCircuit(now time.Time, replica *replicaState, result Result) {
 	switch result {
 	case ResultDone:
 		replica.circuit.Succeeded()
@@ -104,14 +100,14 @@
 	}
 }
 
-// reopens returns when the next open circuit lets a probe through; zero where
-// nothing waits for that. One that does so already is no reason to look again.
-func (p *Pool) reopens(now time.Time) time.Time {
+// nextProbeAt returns when the next open circuit allows a probe; zero if no request waits. Circuits
+// that already allow a probe are left out, since they need no further call of Decide.
+func (p *Pool) nextProbeAt(now time.Time) time.Time {
 	var next time.Time
 	if len(p.waiting) == 0 {
 		return next
 	}
-	for _, r := range p.order {
+	for _, r := range p.orderedReplicas {
 		if at := r.circuit.ReopensAt(); at.After(now) {
 			next = earlier(next, at)
 		}
--- a/internal/router/pool_property_test.go
+++ b/internal/router/pool_property_test.go
@@ -12,18 +12,18 @@
 	"galenatrestle/internal/config"
 )
 
-// model drives a pool with arbitrary calls and keeps its own books.
+// model makes arbitrary calls to a pool and tracks the expected state.
 type model struct {
-	t        *rapid.T
-	pool     *Pool
-	now      time.Time
-	names    []string
-	leaving  map[string]bool
-	waiting  map[string]Request
-	running  map[string]string
-	ended    map[string]string
-	requests map[string]Request
-	serial   int
+	t            *rapid.T
+	pool         *Pool
+	now          time.Time
+	replicaNames []string
+	leaving      map[string]bool
+	waiting      map[string]Request
+	running      map[string]string
+	ended        map[string]string
+	requests     map[string]Request
+	submitted    int
 }
 
 func propertyClasses() []config.Class {
@@ -44,7 +44,7 @@
 	var replicas []Replica
 	for i := range rapid.IntRange(1, 5).Draw(t, "replicas") {
 		name := "r" + strconv.Itoa(i)
-		m.names = append(m.names, name)
+		m.replicaNames = append(m.replicaNames, name)
 		replicas = append(replicas, Replica{Name: name, Slots: rapid.IntRange(1, 4).Draw(t, "slots")})
 	}
 	m.pool = NewPool(Options{
@@ -56,9 +56,9 @@
 
 func (m *model) submitNew(t *rapid.T) {
 	class := rapid.SampledFrom(propertyClasses()).Draw(t, "class")
-	m.serial++
+	m.submitted++
 	m.submit(Request{
-		ID: strconv.Itoa(m.serial), Class: class.Name, Tier: class.Tier, Attempt: 1, Arrived: m.now,
+		ID: strconv.Itoa(m.submitted), Class: class.Name, Tier: class.Tier, Attempt: 1, Arrived: m.now,
 		Workspace:    rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "workspace"),
 		AnswerBy:     m.now.Add(class.TargetAnswer.Std()),
 		GiveUpAt:     m.now.Add(class.GiveUpAfter.Std()),
@@ -66,7 +66,6 @@
 	})
 }
 
-// burst fills the queues up to their bounds.
 func (m *model) burst(t *rapid.T) {
 	for range rapid.IntRange(5, 25).Draw(t, "burst") {
 		m.submitNew(t)
@@ -84,7 +83,7 @@
 	m.next()
 }
 
-// finishAs ends an attempt; one that failed is submitted again elsewhere.
+// finishAs retries an attempt that did not run or crashed.
 func (m *model) finishAs(id string, result Result) {
 	m.pool.Finish(m.now, id, result)
 	replica := m.running[id]
@@ -112,15 +111,15 @@
 }
 
 func (m *model) crash(t *rapid.T) {
-	name := rapid.SampledFrom(m.names).Draw(t, "replica")
-	var hit []string
+	name := rapid.SampledFrom(m.replicaNames).Draw(t, "replica")
+	var affected []string
 	for id, replica := range m.running {
 		if replica == name {
-			hit = append(hit, id)
+			affected = append(affected, id)
 		}
 	}
-	slices.Sort(hit)
-	for _, id := range hit {
+	slices.Sort(affected)
+	for _, id := range affected {
 		m.finishAs(id, ResultCrashed)
 	}
 	m.next()
@@ -140,24 +139,23 @@
 }
 
 func (m *model) setLeaving(t *rapid.T) {
-	name := rapid.SampledFrom(m.names).Draw(t, "replica")
+	name := rapid.SampledFrom(m.replicaNames).Draw(t, "replica")
 	m.leaving[name] = !m.leaving[name]
 	m.pool.SetLeaving(m.now, name, m.leaving[name])
 	m.next()
 }
 
 func (m *model) setAllowance(t *rapid.T) {
-	name := rapid.SampledFrom(m.names).Draw(t, "replica")
+	name := rapid.SampledFrom(m.replicaNames).Draw(t, "replica")
 	m.pool.SetAllowance(name, rapid.IntRange(-1, 3).Draw(t, "slots"))
 	m.next()
 }
 
-func (m *model) pass(t *rapid.T) {
+func (m *model) advanceTime(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 20000).Draw(t, "ms")) * time.Millisecond)
 	m.next()
 }
 
-// drain lets all time run out and checks that every request ended once.
 func (m *model) drain() {
 	for len(m.running) > 0 || len(m.waiting) > 0 {
 		for id := range m.running {
@@ -173,12 +171,13 @@
 	}
 }
 
-func TestPoolKeepsItsPromises(t *testing.T) {
+// Under arbitrary calls, each request must end exactly once and the counts must be right.
+func TestPoolInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": m.submitNew, "burst": m.burst, "finish": m.finish, "crash": m.crash,
-			"cancel": m.cancel, "leaving": m.setLeaving, "allowance": m.setAllowance, "pass": m.pass,
+			"cancel": m.cancel, "leaving": m.setLeaving, "allowance": m.setAllowance, "pass": m.advanceTime,
 		})
 		m.drain()
 	})
--- a/internal/router/pool_replicas.go
+++ b/internal/router/pool_replicas.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// SetReplicas puts a new list of replicas in force. A replica that is no longer
-// listed gets nothing new and is forgotten when its last request has ended.
+// SetReplicas replaces the replicas. A removed replica gets no new requests and is deleted when
+// its last request has ended.
 func (p *Pool) SetReplicas(now time.Time, replicas []Replica) {
 	listed := make(map[string]bool, len(replicas))
 	for _, replica := range replicas {
 		listed[replica.Name] = true
 		p.setReplica(replica)
 	}
-	for _, r := range p.order {
+	for _, r := range p.orderedReplicas {
 		r.removed = !listed[r.Name]
 	}
-	p.forgetRemoved()
+	p.deleteRemovedReplicas()
 	p.changedAt = now
 }
 
@@ -25,21 +25,21 @@
 	known, ok := p.replicas[replica.Name]
 	if ok {
 		if known.Slots != fresh.Slots {
-			known.learned = fresh.learned
+			known.learnedLimit = fresh.learnedLimit
 		}
 		known.Replica = fresh.Replica
 		return
 	}
 	p.replicas[replica.Name] = fresh
-	p.order = append(p.order, fresh)
+	p.orderedReplicas = append(p.orderedReplicas, fresh)
 }
 
-func (p *Pool) forgetRemoved() {
-	if !slices.ContainsFunc(p.order, (*replicaState).forgettable) {
+func (p *Pool) deleteRemovedReplicas() {
+	if !slices.ContainsFunc(p.orderedReplicas, (*replicaState).removable) {
 		return
 	}
-	p.order = slices.DeleteFunc(p.order, func(r *replicaState) bool {
-		if r.forgettable() {
+	p.orderedReplicas = slices.DeleteFunc(p.orderedReplicas, func(r *replicaState) bool {
+		if r.removable() {
 			delete(p.replicas, r.Name)
 			return true
 		}
@@ -47,31 +47,30 @@
 	})
 }
 
-// SetLeaving marks a replica that announced its leaving, or takes the mark off.
-// The configuration's own mark holds besides.
+// SetLeaving records whether a replica has announced that it is leaving. Replica.Leaving is
+// independent of it.
 func (p *Pool) SetLeaving(now time.Time, replica string, leaving bool) {
 	r, ok := p.replicas[replica]
 	if !ok {
 		return
 	}
-	r.announced = leaving
+	r.announcedLeaving = leaving
 	p.changedAt = now
 }
 
-// SetAllowance sets the slots that the replica's owner gave to this node.
-// Negative: this node's own limit alone counts. Call Next afterwards.
+// SetAllowance sets the slots granted to this node by the node that owns the replica. If negative,
+// only this node's own limit counts. The caller must call Decide afterwards.
 func (p *Pool) SetAllowance(replica string, slots int) {
 	if r, ok := p.replicas[replica]; ok {
 		r.allowance = slots
 	}
 }
 
-// RecordLoad takes in a replica's own load report; an older one than the last is
-// dropped.
+// RecordLoad stores a load report unless a newer one is known.
 func (p *Pool) RecordLoad(_ time.Time, replica string, load LoadReport) {
 	r, ok := p.replicas[replica]
-	if !ok || load.At.Before(r.report.At) {
+	if !ok || load.At.Before(r.lastReport.At) {
 		return
 	}
-	r.report = load
+	r.lastReport = load
 }
--- a/internal/router/pool_share_test.go
+++ b/internal/router/pool_share_test.go
@@ -11,8 +11,8 @@
 	"galenatrestle/internal/refusal"
 )
 
-// floodClasses have queues that outlast all slots coming free at once.
-func floodClasses() []config.Class {
+// saturatingClasses have queues that outlast all slots coming free at once.
+func saturatingClasses() []config.Class {
 	classes := propertyClasses()
 	for i := range classes {
 		classes[i].QueueBound = 13
@@ -20,12 +20,12 @@
 	return classes
 }
 
-// flood keeps a pool's higher tiers full and returns each class's slot time.
-func flood(t *rapid.T, slots int, service map[string]time.Duration, span time.Duration) map[string]time.Duration {
-	p := NewPool(Options{Classes: floodClasses(), Replicas: []Replica{{Name: "a", Slots: slots}}})
+// saturate keeps all queues full and returns the slot time used by each class.
+func saturate(t *rapid.T, slots int, service map[string]time.Duration, span time.Duration) map[string]time.Duration {
+	p := NewPool(Options{Classes: saturatingClasses(), Replicas: []Replica{{Name: "a", Slots: slots}}})
 	ends := make(map[string]time.Time)
 	classOf := make(map[string]string)
-	held := make(map[string]time.Duration)
+	slotTime := make(map[string]time.Duration)
 	serial := 0
 	for now := start; now.Before(start.Add(span)); now = now.Add(250 * time.Millisecond) {
 		for id, end := range ends {
@@ -34,7 +34,7 @@
 				delete(ends, id)
 			}
 		}
-		for _, class := range floodClasses() {
+		for _, class := range saturatingClasses() {
 			for p.classes[class.Name].waiting < class.QueueBound {
 				serial++
 				id := strconv.Itoa(serial)
@@ -50,20 +50,19 @@
 				}
 			}
 		}
-		for _, event := range p.Decide(now) {
-			class := classOf[event.ID]
-			delete(classOf, event.ID)
-			if event.Replica != nil {
-				ends[event.ID] = now.Add(service[class])
-				held[class] += service[class]
+		for _, decision := range p.Decide(now) {
+			class := classOf[decision.ID]
+			delete(classOf, decision.ID)
+			if decision.Replica != nil {
+				ends[decision.ID] = now.Add(service[class])
+				slotTime[class] += service[class]
 			}
 		}
 	}
-	return held
+	return slotTime
 }
 
-// Under a flood of all classes every class is served, and the shares of the
-// lower ones take no more than their part from the highest.
+// With full queues, each class must be served and lower tiers must stay within their shares.
 func TestEveryClassIsServedWithinItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 12).Draw(t, "slots")
@@ -72,24 +71,24 @@
 			service[class.Name] = time.Duration(rapid.IntRange(1, 8).Draw(t, class.Name)) * time.Second
 		}
 		const span = 12 * time.Minute
-		held := flood(t, slots, service, span)
+		slotTime := saturate(t, slots, service, span)
 		total := span.Seconds() * float64(slots)
 		lower := 0.0
 		for _, class := range propertyClasses() {
-			if held[class.Name] == 0 {
-				t.Fatalf("class %s was never served: %v", class.Name, held)
+			if slotTime[class.Name] == 0 {
+				t.Fatalf("class %s was never served: %v", class.Name, slotTime)
 			}
 			if class.Tier == 0 {
 				continue
 			}
-			lower += held[class.Name].Seconds()
+			lower += slotTime[class.Name].Seconds()
 			most := max(class.MinShare, 0.01)*total + 2*service[class.Name].Seconds()
-			if got := held[class.Name].Seconds(); got > most {
-				t.Errorf("class %s held %.0f slot seconds of %.0f, want at most %.0f", class.Name, got, total, most)
+			if got := slotTime[class.Name].Seconds(); got > most {
+				t.Errorf("class %s used %.0f slot seconds of %.0f, want at most %.0f", class.Name, got, total, most)
 			}
 		}
-		if top := held["t0"].Seconds(); top < 0.9*(total-lower) {
-			t.Errorf("tier 0 held %.0f slot seconds of the %.0f left", top, total-lower)
+		if top := slotTime["t0"].Seconds(); top < 0.9*(total-lower) {
+			t.Errorf("tier 0 used %.0f of %.0f slot seconds left by lower tiers, want at least 90%%", top, total-lower)
 		}
 	})
 }
--- a/internal/router/pool_stats.go
+++ b/internal/router/pool_stats.go
@@ -14,7 +14,7 @@
 	return latest.Sub(now)
 }
 
-// Stats returns a snapshot, classes by tier and name, replicas as configured.
+// Stats returns a snapshot: classes by tier and name, replicas in configuration order.
 func (p *Pool) Stats(now time.Time) Stats {
 	stats := p.stats
 	for _, class := range p.classes {
@@ -27,9 +27,9 @@
 	slices.SortFunc(stats.Classes, func(a, b ClassStats) int {
 		return cmp.Or(cmp.Compare(a.Tier, b.Tier), cmp.Compare(a.Name, b.Name))
 	})
-	for _, r := range p.order {
+	for _, r := range p.orderedReplicas {
 		stats.Replicas = append(stats.Replicas, ReplicaStats{
-			Name: r.Name, Running: r.running, Slots: r.Slots, Limit: r.limit(), Leaving: !r.open(), Slowness: r.slowness,
+			Name: r.Name, Running: r.running, Slots: r.Slots, Limit: r.limit(), Leaving: !r.acceptsNew(), Slowness: r.slowness,
 		})
 	}
 	return stats
--- a/internal/router/pool_straggler_test.go
+++ b/internal/router/pool_straggler_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// slowReplica runs enough requests to make a a straggler beside b.
-func slowReplica(t *testing.T, p *Pool) time.Time {
+// makeStraggler makes replica a a straggler compared with b and returns the time.
+func makeStraggler(t *testing.T, p *Pool) time.Time {
 	t.Helper()
 	now := start
 	for i := range 8 {
@@ -16,8 +16,8 @@
 		mustSubmit(t, p, r)
 	}
 	bound := make(map[string]string)
-	for _, event := range p.Decide(now) {
-		bound[event.ID] = event.Replica.Name
+	for _, decision := range p.Decide(now) {
+		bound[decision.ID] = decision.Replica.Name
 	}
 	for step := range 2000 {
 		now = now.Add(10 * time.Millisecond)
@@ -35,9 +35,9 @@
 	return now
 }
 
-func TestStragglerGetsNothingOfTheHighestTierUntilForgotten(t *testing.T) {
+func TestStragglerGetsNoHighestTierRequestsUntilSlownessDecays(t *testing.T) {
 	p := testPool(4, "a", "b")
-	now := slowReplica(t, p)
+	now := makeStraggler(t, p)
 	if stats := p.Stats(now); stats.Replicas[0].Slowness < 5 || stats.Replicas[0].Limit != 1 {
 		t.Fatalf("replica a: %+v, want a straggler with limit 1", stats.Replicas[0])
 	}
@@ -47,14 +47,14 @@
 	if refused := p.Submit(now, r); refused != nil {
 		t.Fatal(refused)
 	}
-	if events := p.Decide(now); len(events) != 0 {
-		t.Fatalf("Next = %+v, want the request to wait", events)
+	if decisions := p.Decide(now); len(decisions) != 0 {
+		t.Fatalf("Decide = %+v, want the request to wait", decisions)
 	}
 	for range 2000 {
 		now = p.Deadline(now)
-		if events := p.Decide(now); len(events) > 0 {
+		if decisions := p.Decide(now); len(decisions) > 0 {
 			if waited := now.Sub(r.Arrived); waited < 10*time.Second {
-				t.Errorf("bound after %v, want the straggler to be remembered longer", waited)
+				t.Errorf("bound after %v, want the straggler to be avoided for at least 10 s", waited)
 			}
 			return
 		}
@@ -62,7 +62,7 @@
 	t.Error("the straggler was never tried again")
 }
 
-// Where all others fail, or are to be avoided, a straggler is better than none.
+// A retry must run on the straggler at once if the other replica crashed or must be avoided.
 func TestStragglerIsUsedWhenTheOthersFail(t *testing.T) {
 	for _, result := range []Result{ResultCrashed, ResultFailed} {
 		checkRetryOnStraggler(t, result)
@@ -72,23 +72,23 @@
 func checkRetryOnStraggler(t *testing.T, result Result) {
 	t.Helper()
 	p := testPool(4, "a", "b")
-	now := slowReplica(t, p)
+	now := makeStraggler(t, p)
 	r := request("quick", "quick")
 	r.Arrived, r.GiveUpAt = now, now.Add(time.Hour)
 	if refused := p.Submit(now, r); refused != nil {
 		t.Fatal(refused)
 	}
-	if events := p.Decide(now); len(events) != 1 || events[0].Replica.Name != "b" {
-		t.Fatalf("Next = %+v, want a binding to b", events)
+	if decisions := p.Decide(now); len(decisions) != 1 || decisions[0].Replica.Name != "b" {
+		t.Fatalf("Decide = %+v, want a binding to b", decisions)
 	}
 	p.Finish(now, "quick", result)
 	r.Attempt, r.Avoid = 2, []string{"b"}
 	if refused := p.Submit(now, r); refused != nil {
 		t.Fatal(refused)
 	}
-	now = now.Add(2 * paceEvery)
-	events := p.Decide(now)
-	if len(events) != 1 || events[0].Replica == nil || events[0].Replica.Name != "a" {
-		t.Fatalf("Next = %+v, want a binding to a at once", events)
+	now = now.Add(2 * slownessInterval)
+	decisions := p.Decide(now)
+	if len(decisions) != 1 || decisions[0].Replica == nil || decisions[0].Replica.Name != "a" {
+		t.Fatalf("Decide = %+v, want a binding to a at once", decisions)
 	}
 }
--- a/internal/router/pool_test.go
+++ b/internal/router/pool_test.go
@@ -37,7 +37,7 @@
 func mustSubmit(t *testing.T, p *Pool, r Request) {
 	t.Helper()
 	if refused := p.Submit(start, r); refused != nil {
-		t.Fatalf("Submit(%s) = %v, want admission", r.ID, refused)
+		t.Fatalf("Submit(%s) = %v, want nil", r.ID, refused)
 	}
 }
 
@@ -45,14 +45,14 @@
 	p := testPool(1, "a")
 	mustSubmit(t, p, request("long", "review"))
 	mustSubmit(t, p, request("short", "quick"))
-	events := p.Decide(start)
-	if len(events) != 1 || events[0].ID != "short" || events[0].Replica == nil {
-		t.Fatalf("Next = %+v, want the binding of short alone", events)
+	decisions := p.Decide(start)
+	if len(decisions) != 1 || decisions[0].ID != "short" || decisions[0].Replica == nil {
+		t.Fatalf("Decide = %+v, want only request short bound", decisions)
 	}
 	p.Finish(start, "short", ResultDone)
-	events = p.Decide(start)
-	if len(events) != 1 || events[0].ID != "long" {
-		t.Fatalf("Next = %+v, want the binding of long", events)
+	decisions = p.Decide(start)
+	if len(decisions) != 1 || decisions[0].ID != "long" {
+		t.Fatalf("Decide = %+v, want request long bound", decisions)
 	}
 }
 
@@ -67,16 +67,16 @@
 		t.Fatal("Deadline is zero while a request waits")
 	}
 	at := start.Add(20 * time.Second)
-	events := p.Decide(at)
-	if len(events) != 1 || events[0].Refused == nil || events[0].Refused.Reason != refusal.GaveUpWaiting {
-		t.Fatalf("Next = %+v, want request 2 refused", events)
+	decisions := p.Decide(at)
+	if len(decisions) != 1 || decisions[0].Refused == nil || decisions[0].Refused.Reason != refusal.GaveUpWaiting {
+		t.Fatalf("Decide = %+v, want request 2 refused", decisions)
 	}
-	if events[0].Refused.Outcome != refusal.NotRun {
-		t.Errorf("outcome = %s, want %s", events[0].Refused.Outcome, refusal.NotRun)
+	if decisions[0].Refused.Outcome != refusal.NotRun {
+		t.Errorf("outcome = %s, want %s", decisions[0].Refused.Outcome, refusal.NotRun)
 	}
 }
 
-func TestClassBound(t *testing.T) {
+func TestClassQueueBound(t *testing.T) {
 	p := testPool(1, "a")
 	for i := range 3 {
 		mustSubmit(t, p, request(strconv.Itoa(i), "quick"))
@@ -88,15 +88,15 @@
 	mustSubmit(t, p, request("4", "review"))
 }
 
-func TestLeavingReplicaGetsNothing(t *testing.T) {
+func TestLeavingReplicaGetsNoRequests(t *testing.T) {
 	p := testPool(8, "a", "b")
 	p.SetLeaving(start, "a", true)
 	for i := range 3 {
 		mustSubmit(t, p, request(strconv.Itoa(i), "quick"))
 	}
-	for _, event := range p.Decide(start) {
-		if event.Replica == nil || event.Replica.Name != "b" {
-			t.Errorf("event %+v, want a binding to b", event)
+	for _, decision := range p.Decide(start) {
+		if decision.Replica == nil || decision.Replica.Name != "b" {
+			t.Errorf("decision %+v, want a binding to b", decision)
 		}
 	}
 	p.SetLeaving(start, "b", true)
@@ -106,24 +106,24 @@
 	}
 }
 
-func TestRetryAvoidsReplicaAndIsUnknown(t *testing.T) {
+func TestRetryAvoidsReplicaAndHasUnknownOutcome(t *testing.T) {
 	p := testPool(1, "a", "b")
 	retry := request("1", "quick")
 	retry.Attempt = 2
 	retry.Avoid = []string{"a"}
 	mustSubmit(t, p, retry)
-	events := p.Decide(start)
-	if len(events) != 1 || events[0].Replica.Name != "b" {
-		t.Fatalf("Next = %+v, want a binding to b", events)
+	decisions := p.Decide(start)
+	if len(decisions) != 1 || decisions[0].Replica.Name != "b" {
+		t.Fatalf("Decide = %+v, want a binding to b", decisions)
 	}
 	retry.ID = "2"
 	mustSubmit(t, p, retry)
-	if events := p.Decide(start); len(events) != 0 {
-		t.Fatalf("Next = %+v, want request 2 to wait for b", events)
+	if decisions := p.Decide(start); len(decisions) != 0 {
+		t.Fatalf("Decide = %+v, want request 2 to wait for b", decisions)
 	}
-	events = p.Decide(start.Add(time.Minute))
-	if len(events) != 1 || events[0].Refused == nil || events[0].Refused.Outcome != refusal.Unknown {
-		t.Errorf("Next = %+v, want a refusal with outcome %s", events, refusal.Unknown)
+	decisions = p.Decide(start.Add(time.Minute))
+	if len(decisions) != 1 || decisions[0].Refused == nil || decisions[0].Refused.Outcome != refusal.Unknown {
+		t.Errorf("Decide = %+v, want a refusal with outcome %s", decisions, refusal.Unknown)
 	}
 }
 
@@ -131,8 +131,8 @@
 	p := testPool(1, "a")
 	mustSubmit(t, p, request("1", "quick"))
 	p.Cancel(start, "1")
-	if events := p.Decide(start); len(events) != 0 {
-		t.Errorf("Next = %+v, want nothing", events)
+	if decisions := p.Decide(start); len(decisions) != 0 {
+		t.Errorf("Decide = %+v, want nothing", decisions)
 	}
 	if got := p.Stats(start).Cancelled; got != 1 {
 		t.Errorf("Cancelled = %d, want 1", got)
--- a/internal/router/pool_zone_test.go
+++ b/internal/router/pool_zone_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// A retry leaves the availability zones in which it failed, but only where
-// another one has a free replica.
-func TestRetryLeavesTheZonesItFailedIn(t *testing.T) {
+// A retry must leave the zones of failed attempts if a replica elsewhere is free,
+// and must not wait for one otherwise.
+func TestRetryPrefersZonesWithoutFailures(t *testing.T) {
 	tests := []struct {
 		name  string
 		avoid []string
@@ -34,13 +34,12 @@
 				}
 			}
 			if len(bound) != len(test.want) {
-				t.Errorf("bound to %v, want each of %v at times", bound, test.want)
+				t.Errorf("bound to %v over all seeds, want each of %v", bound, test.want)
 			}
 		})
 	}
 }
 
-// bindOne returns the replica that a request is bound to.
 func bindOne(t *testing.T, seed uint64, avoid, busy []string) string {
 	t.Helper()
 	p := zonePool(seed)
@@ -50,15 +49,14 @@
 	r := request(strconv.FormatUint(seed, 10), "quick")
 	r.Avoid = avoid
 	mustSubmit(t, p, r)
-	events := p.Decide(start)
-	if len(events) != 1 || events[0].Replica == nil {
-		t.Fatalf("Next = %+v, want one binding", events)
+	decisions := p.Decide(start)
+	if len(decisions) != 1 || decisions[0].Replica == nil {
+		t.Fatalf("Decide = %+v, want one binding", decisions)
 	}
-	return events[0].Replica.Name
+	return decisions[0].Replica.Name
 }
 
-// zonePool has two replicas in one zone and one in another; its node is in a
-// third, so that none is nearer.
+// zonePool has two replicas in one zone and one in another, none in the zone of the node.
 func zonePool(seed uint64) *Pool {
 	return NewPool(Options{
 		Classes: testClasses(), Rand: rand.New(rand.NewPCG(seed, 1)), AvailabilityZone: "depot-hall",
--- a/internal/router/refuse.go
+++ b/internal/router/refuse.go
@@ -7,15 +7,14 @@
 	"galenatrestle/internal/refusal"
 )
 
-// Steps at which a pool refuses.
+// Steps named in refusals.
 const (
 	stepAdmit = "admit"
 	stepQueue = "queue"
 )
 
-// refuse makes a refusal of request. A pool cannot prove that a retry's earlier
-// attempt did not run, so the outcome of a retry is unknown: the caller of the
-// pool may put NotRun in its place where it has the proof.
+// refuse returns a refusal. The pool cannot tell whether the earlier attempt of a retry ran; a
+// caller that has proof may replace the outcome Unknown by NotRun.
 func refuse(request *Request, reason refusal.Reason, step, message string, retryAfter time.Duration) *refusal.Error {
 	refused := refusal.New(reason, step, message)
 	if request.Attempt > 1 {
@@ -34,6 +33,6 @@
 }
 
 func refuseQueueFull(request *Request, class *classState) *refusal.Error {
-	message := fmt.Sprintf("%d requests of class %s wait already", class.waiting, class.Name)
+	message := fmt.Sprintf("%d requests of class %s are already waiting", class.waiting, class.Name)
 	return refuse(request, refusal.QueueFull, stepAdmit, message, class.GiveUpAfter.Std()/2)
 }
--- a/internal/router/replica.go
+++ b/internal/router/replica.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Replica is one candidate as configured.
+// Replica is the configuration of a replica.
 type Replica struct {
 	Name             string
 	Address          string
 	AvailabilityZone string
-	// Slots is the concurrency limit to start with.
+	// Slots is the initial concurrency limit.
 	Slots int
-	// Leaving replicas get nothing new.
+	// Leaving replicas get no new requests.
 	Leaving bool
 }
 
-// LoadReport is a replica's own report.
+// LoadReport is the load measured by a replica itself.
 type LoadReport struct {
 	Running int
 	Waiting int
 	Slots   int
-	// At is when the replica measured it, by this node's clock.
+	// At is the time of measurement by this node's clock.
 	At time.Time
 }
--- a/internal/router/replica_state.go
+++ b/internal/router/replica_state.go
@@ -8,48 +8,46 @@
 	"galenatrestle/internal/concurrency"
 )
 
-// replicaState is what a pool knows of one replica.
 type replicaState struct {
 	Replica
-	// announced says that the replica itself or its platform is leaving,
-	// whatever the configuration says.
-	announced bool
+	// announcedLeaving is independent of the configured Replica.Leaving.
+	announcedLeaving bool
 	// removed replicas are kept until their last request has ended.
 	removed bool
 	running int
-	// allowance is the number of slots given by the replica's owner;
-	// negative where only this node's limit counts.
-	allowance int
-	report    LoadReport
-	// circuit keeps requests off a replica that fails at once.
-	circuit  circuit.Breaker
-	learned  *concurrency.Limit
-	floor    concurrency.Floor
-	pace     balancer.Pace
-	prefixes balancer.Prefixes
-	// slowness is the pace as a multiple of the pool's usual one.
+	// allowance is the number of slots granted to this node by the node that
+	// owns the replica; negative if there is no such bound.
+	allowance      int
+	lastReport     LoadReport
+	circuit        circuit.Breaker
+	learnedLimit   *concurrency.Limit
+	tokenTimeFloor concurrency.Floor
+	pace           balancer.Pace
+	prefixes       balancer.Prefixes
+	// slowness is the time between tokens relative to the pool's median; a long silence
+	// raises it too.
 	slowness float64
 }
 
-// newReplicaState takes the random offset that spreads the rounding of limits.
+// newReplicaState takes an offset that varies the rounding of limits between nodes.
 func newReplicaState(r Replica, offset float64) *replicaState {
 	if r.Slots <= 0 {
 		r.Slots = defaultSlots
 	}
 	return &replicaState{
-		Replica: r, allowance: -1, learned: concurrency.NewLimit(r.Slots, offset), slowness: 1,
+		Replica: r, allowance: -1, learnedLimit: concurrency.NewLimit(r.Slots, offset), slowness: 1,
 	}
 }
 
-// open says whether the replica may get new requests at all.
-func (r *replicaState) open() bool {
-	return !r.Leaving && !r.announced && !r.removed
+// acceptsNew ignores the load and the circuit.
+func (r *replicaState) acceptsNew() bool {
+	return !r.Leaving && !r.announcedLeaving && !r.removed
 }
 
-// limit is the most requests this node runs on the replica.
+// limit returns the most requests that this node may run on the replica.
 func (r *replicaState) limit() int {
-	limit := r.learned.Value()
-	if r.suspect() {
+	limit := r.learnedLimit.Value()
+	if r.isStraggler() {
 		limit = 1
 	}
 	if r.allowance >= 0 && r.allowance < limit {
@@ -58,30 +56,26 @@
 	return limit
 }
 
-// free says whether the replica takes another request now.
-func (r *replicaState) free(now time.Time) bool {
-	return r.open() && r.running < r.limit() && r.circuit.Allows(now)
+func (r *replicaState) hasFreeSlot(now time.Time) bool {
+	return r.acceptsNew() && r.running < r.limit() && r.circuit.Allows(now)
 }
 
-// works says whether the replica is open and did not fail last.
-func (r *replicaState) works(now time.Time) bool {
-	return r.open() && r.circuit.Allows(now) && r.circuit.ReopensAt().IsZero()
+// healthy requires a closed circuit, regardless of the load.
+func (r *replicaState) healthy(now time.Time) bool {
+	return r.acceptsNew() && r.circuit.Allows(now) && r.circuit.ReopensAt().IsZero()
 }
 
-// suspect says whether the replica is taken for a straggler.
-func (r *replicaState) suspect() bool { return r.slowness >= balancer.SuspectFrom }
+func (r *replicaState) isStraggler() bool { return r.slowness >= balancer.SuspectFrom }
 
-// forgettable says whether nothing holds the replica any more.
-func (r *replicaState) forgettable() bool { return r.removed && r.running == 0 }
+func (r *replicaState) removable() bool { return r.removed && r.running == 0 }
 
-// tokens takes in that n tokens took the given time.
-func (r *replicaState) tokens(now time.Time, n int, took time.Duration, reference float64, learn bool) {
+func (r *replicaState) recordTokens(now time.Time, n int, took time.Duration, idleTokenTime float64, adaptLimit bool) {
 	seconds := took.Seconds() / float64(n)
 	r.pace.Observe(now, seconds)
-	if !learn {
+	if !adaptLimit {
 		return
 	}
-	if average := r.learned.Observe(now, seconds, reference); average > 0 {
-		r.floor.Observe(now, average)
+	if average := r.learnedLimit.Observe(now, seconds, idleTokenTime); average > 0 {
+		r.tokenTimeFloor.Observe(now, average)
 	}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -2,33 +2,31 @@
 
 import "time"
 
-// Request is what the decisions know of one request.
+// Request is the part of a request that scheduling needs.
 type Request struct {
 	ID        string
 	Workspace string
 	Class     string
-	// Tier is the class's tier; 0 is the highest.
+	// Tier is the tier of the class; 0 is the highest.
 	Tier int
-	// Model is the model or adapter asked for.
-	Model string
-	// Arrived is when the node took the request.
+	// Model is the requested model or adapter.
+	Model   string
 	Arrived time.Time
-	// FirstTokenBy and AnswerBy are the class's targets as points in time;
-	// zero where there is none.
+	// FirstTokenBy and AnswerBy are the deadlines of the class's targets; zero if there is none.
 	FirstTokenBy time.Time
 	AnswerBy     time.Time
-	// GiveUpAt is when an answer is of no more use.
+	// GiveUpAt is the time after which an answer is no longer useful.
 	GiveUpAt time.Time
 	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int
-	// MaxTokens is the caller's bound of the answer; zero where there is none.
+	// MaxTokens is the caller's limit on the answer length; zero if there is none.
 	MaxTokens int
-	// PrefixHashes identify the prompt's prefixes, shortest first.
+	// PrefixHashes identify the prefixes of the prompt, shortest first.
 	PrefixHashes []uint64
 	// Fingerprint identifies the content (workspace, model, body).
 	Fingerprint uint64
 	// Attempt counts from 1.
 	Attempt int
-	// Avoid names replicas already tried.
+	// Avoid lists the replicas that earlier attempts used.
 	Avoid []string
 }
--- a/internal/router/result.go
+++ b/internal/router/result.go
@@ -1,17 +1,16 @@
 package router
 
-// Result says how an attempt ended.
+// Result is how an attempt ended.
 type Result int
 
-// The results of an attempt.
 const (
-	// ResultDone is a whole answer.
+	// ResultDone is a complete answer.
 	ResultDone Result = iota
-	// ResultNotRun is an attempt that certainly did not run.
+	// ResultNotRun is an attempt that is known not to have run.
 	ResultNotRun
-	// ResultFailed is an attempt that broke after it was sent.
+	// ResultFailed is an attempt that failed after it was sent.
 	ResultFailed
-	// ResultCancelled is an attempt ended by this side.
+	// ResultCancelled is an attempt cancelled by this side.
 	ResultCancelled
 	// ResultCrashed is an attempt whose connection the replica broke.
 	ResultCrashed
--- a/internal/router/routertest/compare_test.go
+++ b/internal/router/routertest/compare_test.go
@@ -17,14 +17,14 @@
 )
 
 type policy struct {
-	name    string
-	without router.Features
+	name     string
+	disabled router.Features
 }
 
 func scenario(p policy, pools int, load float64) Scenario {
 	return Scenario{
 		Name: p.name, Seed: compareSeed, Pools: pools, Replicas: 20, Slots: Knee / pools,
-		Load: load, Duration: checkDuration, Disabled: p.without,
+		Load: load, Duration: checkDuration, Disabled: p.disabled,
 	}
 }
 
@@ -34,89 +34,85 @@
 	return s
 }
 
-// The policies that are compared; each adds to the one before.
+// Each policy enables one more feature than the one before.
 var (
-	baseline  = policy{"baseline", router.Baseline}
-	slack     = policy{"slack", router.Features{MinShare: true, LengthEstimates: true, Admission: true, FairShare: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
-	fair      = policy{"and fair share", router.Features{MinShare: true, LengthEstimates: true, Admission: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
-	share     = policy{"and minimum share", router.Features{LengthEstimates: true, Admission: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
-	estimates = policy{"and estimates", router.Features{AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
-	straggler = policy{"and stragglers", router.Features{AdaptiveLimits: true, ExpectedFinish: true}}
-	finish    = policy{"and expected finish", router.Features{AdaptiveLimits: true}}
-	all       = policy{"and learned limits", router.Features{}}
+	baseline           = policy{"baseline", router.Baseline}
+	slack              = policy{"slack", router.Features{MinShare: true, LengthEstimates: true, Admission: true, FairShare: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
+	fairShare          = policy{"and fair share", router.Features{MinShare: true, LengthEstimates: true, Admission: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
+	minShare           = policy{"and minimum share", router.Features{LengthEstimates: true, Admission: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
+	estimates          = policy{"and estimates", router.Features{AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
+	stragglerDetection = policy{"and stragglers", router.Features{AdaptiveLimits: true, ExpectedFinish: true}}
+	expectedFinish     = policy{"and expected finish", router.Features{AdaptiveLimits: true}}
+	allFeatures        = policy{"and learned limits", router.Features{}}
 )
 
-func printRow(s Scenario) Outcome {
+func runAndPrintRow(s Scenario) Outcome {
 	s.Duration = tableDuration
 	o := Run(s)
 	fmt.Println(o.Row(s))
 	return o
 }
 
-// BenchmarkTableLoad prints the policies at one and eight pools.
 func BenchmarkTableLoad(_ *testing.B) {
 	fmt.Println("\n" + TableHeader)
 	for _, pools := range []int{1, 8} {
 		for _, load := range []float64{0.7, 1.0, 1.5, 2.0} {
-			for _, p := range []policy{baseline, slack, fair, share, estimates, straggler, finish, all} {
-				printRow(scenario(p, pools, load))
+			for _, p := range []policy{baseline, slack, fairShare, minShare, estimates, stragglerDetection, expectedFinish, allFeatures} {
+				runAndPrintRow(scenario(p, pools, load))
 			}
-			printRow(clairvoyantOf(scenario(baseline, pools, load)))
+			runAndPrintRow(clairvoyantOf(scenario(baseline, pools, load)))
 		}
 	}
 }
 
-// BenchmarkTableStragglers prints the policies without and with stragglers.
 func BenchmarkTableStragglers(_ *testing.B) {
 	fmt.Println("\n" + TableHeader)
 	for _, pools := range []int{1, 8} {
 		for _, load := range []float64{0.7, 1.0, 2.0} {
-			for _, p := range []policy{baseline, estimates, straggler, finish, all} {
+			for _, p := range []policy{baseline, estimates, stragglerDetection, expectedFinish, allFeatures} {
 				s := scenario(p, pools, load)
-				without := printRow(s)
+				without := runAndPrintRow(s)
 				s.Stragglers = stragglers
 				s.Name += ", 2 stragglers"
-				with := printRow(s)
+				with := runAndPrintRow(s)
 				fmt.Printf("quick p99 ratio %.2f\n", with.Classes[0].LatencyQuantile(0.99)/without.Classes[0].LatencyQuantile(0.99))
 			}
 		}
 	}
 }
 
-// BenchmarkTableLimits prints fixed and learned limits by the slots to start with.
 func BenchmarkTableLimits(_ *testing.B) {
 	fmt.Println("\n" + TableHeader)
 	for _, load := range []float64{1.0, 2.0} {
 		for _, slots := range []int{2, 4, 8, 16} {
-			for _, p := range []policy{finish, all} {
+			for _, p := range []policy{expectedFinish, allFeatures} {
 				s := scenario(p, 8, load)
 				s.Slots = slots
 				s.Name = fmt.Sprintf("%s, %d slots", s.Name, slots)
-				printRow(s)
+				runAndPrintRow(s)
 			}
 		}
 	}
 }
 
-// BenchmarkTableHasty prints what refusing the hopeless is worth where one
-// request in five is of use for a short time only.
+// BenchmarkTableHasty shows the effect of Features.Admission if many callers have short timeouts.
 func BenchmarkTableHasty(_ *testing.B) {
 	fmt.Println("\n" + TableHeader)
 	for _, pools := range []int{1, 8} {
 		for _, load := range []float64{1.0, 2.0} {
-			for _, p := range []policy{{"all hopeful", router.Features{Admission: true}}, all} {
+			for _, p := range []policy{{"without admission", router.Features{Admission: true}}, allFeatures} {
 				s := scenario(p, pools, load)
 				s.ShortTimeoutFraction = 0.2
-				printRow(s)
+				runAndPrintRow(s)
 			}
 		}
 	}
 }
 
-// At twice the capacity and without coordination, the highest tier must stay on
-// target and the goodput near that of the clairvoyant order.
+// At twice the capacity, the highest tier must meet its target and goodput must be near the
+// clairvoyant scheduler's.
 func TestOverload(t *testing.T) {
-	s := scenario(all, 8, overload)
+	s := scenario(allFeatures, 8, overload)
 	o := Run(s)
 	best := Run(clairvoyantOf(s))
 	if got := o.Classes[0].Attainment(); got < 0.99 {
@@ -135,10 +131,9 @@
 	}
 }
 
-// With one replica in ten a ten times slower straggler, tier 0's 99th
-// percentile must stay within 1.5 of the run without.
+// With one straggler in ten replicas, the p99 of tier 0 must stay within 1.5 times that without.
 func TestStragglers(t *testing.T) {
-	s := scenario(all, 8, 0.7)
+	s := scenario(allFeatures, 8, 0.7)
 	without := Run(s)
 	s.Stragglers = stragglers
 	with := Run(s)
@@ -148,9 +143,9 @@
 	}
 }
 
-// A node that starts with far too many slots must find the knee.
+// A pool that starts with a limit far too high must reduce it.
 func TestLimitsAreLearned(t *testing.T) {
-	s := scenario(all, 8, overload)
+	s := scenario(allFeatures, 8, overload)
 	s.Slots = Knee
 	o := Run(s)
 	if got := o.Classes[0].Attainment(); got < 0.95 {
--- a/internal/router/routertest/decider.go
+++ b/internal/router/routertest/decider.go
@@ -7,7 +7,7 @@
 	"galenatrestle/internal/router"
 )
 
-// decider is the part of router.Pool that a run drives.
+// decider is the part of router.Pool used by a run.
 type decider interface {
 	Submit(now time.Time, request router.Request) *refusal.Error
 	Decide(now time.Time) []router.Decision
--- a/internal/router/routertest/doc.go
+++ b/internal/router/routertest/doc.go
@@ -1,6 +1,5 @@
-// Package routertest drives real router pools against fake engines in discrete
-// time, to measure decisions and to compare them. It is a fixture for decisions
-// alone: it has no network and none of the nodes' protocols.
+// Package routertest simulates router pools with fake engines in discrete time, to
+// measure and compare scheduling decisions. There is no network and no node protocol.
 //
-// Everything is seeded: the same Scenario gives the same Outcome.
+// Runs are deterministic: the same Scenario gives the same Outcome.
 package routertest
--- a/internal/router/routertest/engine.go
+++ b/internal/router/routertest/engine.go
@@ -7,36 +7,34 @@
 	"galenatrestle/internal/router"
 )
 
-// What every fake engine can do.
 const (
-	// Knee is the batch size up to which more requests cost little time.
+	// Knee is the batch size up to which the time between tokens hardly grows.
 	Knee = 16
-	// tokenTime is the time between tokens at the knee.
+	// tokenTime is the time between tokens at batch size Knee.
 	tokenTime = 25 * time.Millisecond
-	// idlePart is the part of tokenTime that an almost idle engine takes.
-	idlePart = 0.8
-	// prefillRate is in prompt tokens a second.
-	prefillRate = 4000
-	// cachedPrefixes is how many prefixes fit into an engine's cache.
+	// idleFraction of tokenTime is the time between tokens of an idle engine.
+	idleFraction = 0.8
+	// prefillRate is in prompt tokens per second.
+	prefillRate    = 4000
 	cachedPrefixes = 40
-	// prefixPart is the part of a prompt that a cached prefix saves.
-	prefixPart = 0.5
+	// cachedPrefixSaving is the fraction of the prefill saved by a cached prefix.
+	cachedPrefixSaving = 0.5
 )
 
-// engine is a continuously batching engine.
+// engine is a fake inference engine with continuous batching.
 type engine struct {
 	name string
-	// slow multiplies all times; 1 is usual.
-	slow     float64
+	// slowdown multiplies all times; 1 is normal speed.
+	slowdown float64
 	running  []*job
 	prefixes []uint64
 }
 
-// betweenTokens is the time between tokens at the present batch.
-func (e *engine) betweenTokens() float64 {
+// tokenInterval is in seconds, for the current batch size.
+func (e *engine) tokenInterval() float64 {
 	batch := float64(len(e.running)) / Knee
-	part := max(batch, idlePart+(1-idlePart)*batch)
-	return part * tokenTime.Seconds() * e.slow
+	part := max(batch, idleFraction+(1-idleFraction)*batch)
+	return part * tokenTime.Seconds() * e.slowdown
 }
 
 func (e *engine) start(j *job) {
@@ -44,7 +42,7 @@
 	j.prefill = float64(j.request.PromptTokens) / prefillRate
 	prefix := j.request.PrefixHashes[0]
 	if i := slices.Index(e.prefixes, prefix); i >= 0 {
-		j.prefill *= 1 - prefixPart
+		j.prefill *= 1 - cachedPrefixSaving
 		e.prefixes = slices.Delete(e.prefixes, i, i+1)
 	}
 	e.prefixes = append(e.prefixes, prefix)
@@ -59,17 +57,17 @@
 	e.running = slices.Delete(e.running, i, i+1)
 }
 
-// advance moves all jobs on by one tick and returns those with new tokens.
-func (e *engine) advance(tick time.Duration, moved []*job) []*job {
-	step := tick.Seconds() / e.betweenTokens()
+// advance runs all jobs for one tick and appends those with new tokens to advanced.
+func (e *engine) advance(tick time.Duration, advanced []*job) []*job {
+	tokens := tick.Seconds() / e.tokenInterval()
 	for _, j := range e.running {
-		if j.advance(tick.Seconds()/e.slow, step) {
-			moved = append(moved, j)
+		if j.advance(tick.Seconds()/e.slowdown, tokens) {
+			advanced = append(advanced, j)
 		}
 	}
-	return moved
+	return advanced
 }
 
-func (e *engine) load(now time.Time) router.LoadReport {
+func (e *engine) loadReport(now time.Time) router.LoadReport {
 	return router.LoadReport{Running: len(e.running), Slots: Knee, At: now}
 }
--- a/internal/router/routertest/job.go
+++ b/internal/router/routertest/job.go
@@ -4,29 +4,28 @@
 	"galenatrestle/internal/router"
 )
 
-// job is a request with what the decisions do not know of it.
+// job is a request with the simulated state that is hidden from the pools.
 type job struct {
-	request router.Request
-	class   int
-	// length is the answer's length in tokens.
-	length int
-	pool   int
-	engine *engine
-	// prefill is the remaining prefill time in seconds at a usual engine.
+	request      router.Request
+	class        int
+	answerTokens int
+	pool         int
+	engine       *engine
+	// prefill is the remaining prefill time in seconds at normal speed.
 	prefill float64
-	// made and told are the tokens generated and passed on to the pool.
-	made float64
-	told int
+	// generated and reported count tokens, in total and those reported to the pool.
+	generated float64
+	reported  int
 }
 
-// advance reports whether there are whole new tokens.
+// advance reports whether there are tokens to report.
 func (j *job) advance(prefill, tokens float64) bool {
 	if j.prefill > 0 {
 		j.prefill -= prefill
 		return false
 	}
-	j.made = min(j.made+tokens, float64(j.length))
-	return int(j.made) > j.told
+	j.generated = min(j.generated+tokens, float64(j.answerTokens))
+	return int(j.generated) > j.reported
 }
 
-func (j *job) whole() bool { return j.told >= j.length }
+func (j *job) complete() bool { return j.reported >= j.answerTokens }
--- a/internal/router/routertest/run.go
+++ b/internal/router/routertest/run.go
@@ -10,34 +10,31 @@
 )
 
 const (
-	tick = 10 * time.Millisecond
-	// reportEvery and reportLag are those of the engines' load reports.
-	reportEvery = time.Second
-	reportLag   = time.Second
-	// stragglerFactor is how much slower a straggler is.
+	tick            = 10 * time.Millisecond
+	reportInterval  = time.Second
+	reportDelay     = time.Second
 	stragglerFactor = 10
 )
 
-// run is a scenario under way.
 type run struct {
-	scenario Scenario
-	engines  map[string]*engine
-	order    []*engine
-	deciders []decider
-	jobs     map[string]*job
-	pending  []*job
-	reports  []lateReport
-	outcome  Outcome
-	moved    []*job
-}
-
-type lateReport struct {
+	scenario       Scenario
+	engines        map[string]*engine
+	orderedEngines []*engine
+	deciders       []decider
+	jobs           map[string]*job
+	pending        []*job
+	reports        []delayedReport
+	outcome        Outcome
+	advanced       []*job
+}
+
+type delayedReport struct {
 	due     time.Time
 	replica string
 	load    router.LoadReport
 }
 
-// Run carries out the scenario and returns what it measured.
+// Run simulates the scenario until all requests have ended.
 func Run(s Scenario) Outcome {
 	r := newRun(s)
 	for now := start; len(r.pending)+len(r.jobs) > 0; now = now.Add(tick) {
@@ -50,15 +47,15 @@
 	r := &run{scenario: s, engines: make(map[string]*engine), jobs: make(map[string]*job)}
 	var replicas []router.Replica
 	for i := range s.Replicas {
-		e := &engine{name: "replica-" + strconv.Itoa(i), slow: 1}
+		e := &engine{name: "replica-" + strconv.Itoa(i), slowdown: 1}
 		r.engines[e.name] = e
-		r.order = append(r.order, e)
+		r.orderedEngines = append(r.orderedEngines, e)
 		replicas = append(replicas, router.Replica{Name: e.name, Slots: s.Slots})
 	}
 	r.pending = arrivals(s)
 	r.outcome.Capacity = float64(s.Replicas) * Knee / tokenTime.Seconds() * s.Duration.Seconds()
 	for _, p := range profiles {
-		r.outcome.Classes = append(r.outcome.Classes, ClassOutcome{Name: p.class.Name, Refused: make(map[refusal.Reason]int), longest: p.class.GiveUpAfter.Std().Seconds()})
+		r.outcome.Classes = append(r.outcome.Classes, ClassOutcome{Name: p.class.Name, Refused: make(map[refusal.Reason]int), timeout: p.class.GiveUpAfter.Std().Seconds()})
 	}
 	if s.Clairvoyant {
 		r.deciders = []decider{newClairvoyant(r)}
@@ -74,33 +71,31 @@
 }
 
 func (r *run) step(now time.Time) {
-	r.straggle(now.Sub(start))
-	r.report(now)
+	r.setStragglers(now.Sub(start))
+	r.deliverReports(now)
 	r.advance(now)
-	r.cutOff(now)
+	r.cancelTimedOut(now)
 	r.submit(now)
 	for _, d := range r.deciders {
 		r.apply(now, d.Decide(now))
 	}
 }
 
-// straggle makes the scenario's stragglers slow while they are so.
-func (r *run) straggle(elapsed time.Duration) {
+func (r *run) setStragglers(elapsed time.Duration) {
 	s := &r.scenario
 	slow := elapsed >= s.StragglersFrom && (s.StragglersUntil == 0 || elapsed < s.StragglersUntil)
-	for _, e := range r.order[:s.Stragglers] {
-		e.slow = 1
+	for _, e := range r.orderedEngines[:s.Stragglers] {
+		e.slowdown = 1
 		if slow {
-			e.slow = stragglerFactor
+			e.slowdown = stragglerFactor
 		}
 	}
 }
 
-// report takes the engines' reports and delivers those that are due.
-func (r *run) report(now time.Time) {
-	if now.Sub(start)%reportEvery == 0 {
-		for _, e := range r.order {
-			r.reports = append(r.reports, lateReport{due: now.Add(reportLag), replica: e.name, load: e.load(now)})
+func (r *run) deliverReports(now time.Time) {
+	if now.Sub(start)%reportInterval == 0 {
+		for _, e := range r.orderedEngines {
+			r.reports = append(r.reports, delayedReport{due: now.Add(reportDelay), replica: e.name, load: e.loadReport(now)})
 		}
 	}
 	for len(r.reports) > 0 && !r.reports[0].due.After(now) {
@@ -116,65 +111,64 @@
 }
 
 func (r *run) advance(now time.Time) {
-	r.moved = r.moved[:0]
-	for _, e := range r.order {
-		r.moved = e.advance(tick, r.moved)
+	r.advanced = r.advanced[:0]
+	for _, e := range r.orderedEngines {
+		r.advanced = e.advance(tick, r.advanced)
 	}
-	for _, j := range r.moved {
-		r.tell(now, j)
+	for _, j := range r.advanced {
+		r.reportTokens(now, j)
 	}
 }
 
-// tell passes new tokens on to the job's pool.
-func (r *run) tell(now time.Time, j *job) {
+func (r *run) reportTokens(now time.Time, j *job) {
 	d := r.decider(j)
-	fresh := int(j.made) - j.told
-	if j.told == 0 {
+	fresh := int(j.generated) - j.reported
+	if j.reported == 0 {
 		d.RecordFirstToken(now, j.request.ID)
 		fresh--
 	}
 	if fresh > 0 {
 		d.RecordTokens(now, j.request.ID, fresh)
 	}
-	j.told = int(j.made)
-	if j.whole() {
-		r.answered(now, j)
+	j.reported = int(j.generated)
+	if j.complete() {
+		r.recordAnswer(now, j)
 	}
 }
 
-func (r *run) answered(now time.Time, j *job) {
-	r.end(now, j, router.ResultDone)
-	r.outcome.GoodTokens += j.length
+func (r *run) recordAnswer(now time.Time, j *job) {
+	r.finish(now, j, router.ResultDone)
+	r.outcome.GoodTokens += j.answerTokens
 	if now.Sub(start) <= r.scenario.Duration {
-		r.outcome.GoodTokensDuringArrivals += j.length
+		r.outcome.GoodTokensDuringArrivals += j.answerTokens
 	}
 	class := &r.outcome.Classes[j.class]
 	class.Answered++
-	class.seconds = append(class.seconds, now.Sub(j.request.Arrived).Seconds())
+	class.latencies = append(class.latencies, now.Sub(j.request.Arrived).Seconds())
 	if !now.After(j.request.AnswerBy) {
 		class.OnTarget++
 	}
 }
 
-func (r *run) end(now time.Time, j *job, result router.Result) {
+func (r *run) finish(now time.Time, j *job, result router.Result) {
 	j.engine.remove(j)
 	delete(r.jobs, j.request.ID)
 	r.decider(j).Finish(now, j.request.ID, result)
 }
 
-// cutOff ends the running jobs whose callers have given up.
-func (r *run) cutOff(now time.Time) {
-	var late []*job
-	for _, e := range r.order {
+// cancelTimedOut cancels the running jobs whose callers have given up.
+func (r *run) cancelTimedOut(now time.Time) {
+	var timedOut []*job
+	for _, e := range r.orderedEngines {
 		for _, j := range e.running {
 			if !j.request.GiveUpAt.After(now) {
-				late = append(late, j)
+				timedOut = append(timedOut, j)
 			}
 		}
 	}
-	for _, j := range late {
-		r.end(now, j, router.ResultCancelled)
-		r.outcome.WastedTokens += j.told
+	for _, j := range timedOut {
+		r.finish(now, j, router.ResultCancelled)
+		r.outcome.WastedTokens += j.reported
 		r.outcome.Classes[j.class].TimedOut++
 	}
 }
@@ -186,25 +180,25 @@
 		r.outcome.Classes[j.class].Offered++
 		r.jobs[j.request.ID] = j
 		if refused := r.decider(j).Submit(now, j.request); refused != nil {
-			r.refused(now, j, refused)
+			r.recordRefusal(now, j, refused)
 		}
 	}
 }
 
-func (r *run) refused(now time.Time, j *job, refused *refusal.Error) {
+func (r *run) recordRefusal(now time.Time, j *job, refused *refusal.Error) {
 	r.outcome.RefusedWait += now.Sub(j.request.Arrived).Seconds() / j.request.GiveUpAt.Sub(j.request.Arrived).Seconds()
 	r.outcome.Refused++
 	delete(r.jobs, j.request.ID)
 	r.outcome.Classes[j.class].Refused[refused.Reason]++
 }
 
-func (r *run) apply(now time.Time, events []router.Decision) {
-	for _, event := range events {
-		j := r.jobs[event.ID]
-		if event.Refused != nil {
-			r.refused(now, j, event.Refused)
+func (r *run) apply(now time.Time, decisions []router.Decision) {
+	for _, decision := range decisions {
+		j := r.jobs[decision.ID]
+		if decision.Refused != nil {
+			r.recordRefusal(now, j, decision.Refused)
 			continue
 		}
-		r.engines[event.Replica.Name].start(j)
+		r.engines[decision.Replica.Name].start(j)
 	}
 }
--- a/internal/router/routertest/table.go
+++ b/internal/router/routertest/table.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Row formats an outcome as a row of a Markdown table with TableHead.
+// Row formats the outcome as a Markdown table row for TableHeader.
 func (o *Outcome) Row(s Scenario) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "| %s | %d | %.1f |", s.Name, s.Pools, s.Load)
@@ -21,6 +21,6 @@
 	return b.String()
 }
 
-// TableHeader is the head of the table whose rows are Outcome.Row.
+// TableHeader is the header of the table of Outcome.Row.
 const TableHeader = `| policy | pools | load | quick on target | draft on target | review on target | quick answered | draft answered | review answered | quick p99 s | goodput | wasted | refused after |
 |---|---|---|---|---|---|---|---|---|---|---|---|---|`
--- a/internal/router/routertest/workload.go
+++ b/internal/router/routertest/workload.go
@@ -13,42 +13,41 @@
 )
 
 const (
-	workspaces          = 10
-	prefixesByWorkspace = 8
-	lengthCap           = 8
-	hastyPart           = 20
+	workspaceCount       = 10
+	prefixesPerWorkspace = 8
+	maxLengthFactor      = 8
+	shortTimeoutDivisor  = 20
 )
 
 var start = time.Date(2026, 3, 6, 18, 0, 0, 0, time.UTC)
 
-// profile is one class of the workload.
+// profile describes the requests of one class.
 type profile struct {
 	class config.Class
-	// share is the class's part of the offered slot time.
-	share float64
-	// prompt is in tokens; median and sigma describe the log-normal length.
-	prompt int
-	median float64
-	sigma  float64
+	// loadShare is the fraction of the offered slot time.
+	loadShare float64
+	// medianTokens and sigma describe the log-normal answer length.
+	promptTokens int
+	medianTokens float64
+	sigma        float64
 }
 
 func seconds(n float64) config.Duration {
 	return config.Duration(n * float64(time.Second))
 }
 
-// profiles are quick questions, drafts and long reviews.
 var profiles = []profile{
 	{
-		class: config.Class{Name: "quick", Tier: 0, TargetAnswer: seconds(10), GiveUpAfter: seconds(20), QueueBound: 2000},
-		share: 0.35, prompt: 300, median: 60, sigma: 0.7,
+		class:     config.Class{Name: "quick", Tier: 0, TargetAnswer: seconds(10), GiveUpAfter: seconds(20), QueueBound: 2000},
+		loadShare: 0.35, promptTokens: 300, medianTokens: 60, sigma: 0.7,
 	},
 	{
-		class: config.Class{Name: "draft", Tier: 1, TargetAnswer: seconds(40), GiveUpAfter: seconds(80), QueueBound: 2000},
-		share: 0.30, prompt: 1500, median: 200, sigma: 0.8,
+		class:     config.Class{Name: "draft", Tier: 1, TargetAnswer: seconds(40), GiveUpAfter: seconds(80), QueueBound: 2000},
+		loadShare: 0.30, promptTokens: 1500, medianTokens: 200, sigma: 0.8,
 	},
 	{
-		class: config.Class{Name: "review", Tier: 2, TargetAnswer: seconds(120), GiveUpAfter: seconds(240), MinShare: 0.05, QueueBound: 2000},
-		share: 0.35, prompt: 4000, median: 600, sigma: 0.8,
+		class:     config.Class{Name: "review", Tier: 2, TargetAnswer: seconds(120), GiveUpAfter: seconds(240), MinShare: 0.05, QueueBound: 2000},
+		loadShare: 0.35, promptTokens: 4000, medianTokens: 600, sigma: 0.8,
 	},
 }
 
@@ -60,21 +59,21 @@
 	return list
 }
 
-// serviceTime is the time a job of the given length takes at the knee.
+// serviceTime is in seconds, at the knee.
 func (p profile) serviceTime(length float64) float64 {
-	return float64(p.prompt)/prefillRate + length*tokenTime.Seconds()
+	return float64(p.promptTokens)/prefillRate + length*tokenTime.Seconds()
 }
 
 func (p profile) meanLength() float64 {
-	return p.median * math.Exp(p.sigma*p.sigma/2)
+	return p.medianTokens * math.Exp(p.sigma*p.sigma/2)
 }
 
-// rate is the arrivals a second that offer load times the slots' time.
+// rate is in arrivals per second.
 func (p profile) rate(load float64, slots int) float64 {
-	return load * p.share * float64(slots) / p.serviceTime(p.meanLength())
+	return load * p.loadShare * float64(slots) / p.serviceTime(p.meanLength())
 }
 
-// arrivals returns all jobs of a scenario in order of arrival.
+// arrivals returns the jobs in order of arrival.
 func arrivals(s Scenario) []*job {
 	source := rand.New(rand.NewPCG(s.Seed, 1))
 	var jobs []*job
@@ -99,31 +98,30 @@
 func newJob(s Scenario, source *rand.Rand, class int, at float64) *job {
 	p := profiles[class]
 	arrived := start.Add(time.Duration(at * float64(time.Second)))
-	workspace := int(float64(workspaces) * math.Pow(source.Float64(), 2))
-	hasty := source.Float64() < s.ShortTimeoutFraction
+	workspace := int(float64(workspaceCount) * math.Pow(source.Float64(), 2))
+	shortTimeout := source.Float64() < s.ShortTimeoutFraction
 	answerBy := arrived.Add(p.class.TargetAnswer.Std())
 	giveUpAt := arrived.Add(p.class.GiveUpAfter.Std())
-	if hasty {
-		giveUpAt = arrived.Add(p.class.GiveUpAfter.Std() / hastyPart)
+	if shortTimeout {
+		giveUpAt = arrived.Add(p.class.GiveUpAfter.Std() / shortTimeoutDivisor)
 		answerBy = giveUpAt
 	}
-	prefix := source.IntN(prefixesByWorkspace)
-	length := p.median * workspaceFactor(workspace) * math.Exp(p.sigma*source.NormFloat64())
+	prefix := source.IntN(prefixesPerWorkspace)
+	answerTokens := p.medianTokens * workspaceFactor(workspace) * math.Exp(p.sigma*source.NormFloat64())
 	return &job{
-		class: class, length: int(min(max(length, 1), p.median*lengthCap)), pool: source.IntN(s.Pools),
+		class: class, answerTokens: int(min(max(answerTokens, 1), p.medianTokens*maxLengthFactor)), pool: source.IntN(s.Pools),
 		request: router.Request{
 			ID:        p.class.Name + strconv.FormatInt(int64(source.Uint64()>>1), 36),
 			Workspace: "workspace-" + strconv.Itoa(workspace), Class: p.class.Name, Tier: p.class.Tier,
 			Arrived:  arrived,
 			AnswerBy: answerBy, GiveUpAt: giveUpAt,
-			PromptTokens: p.prompt, Attempt: 1,
-			PrefixHashes: []uint64{uint64(class*workspaces*prefixesByWorkspace + workspace*prefixesByWorkspace + prefix)},
+			PromptTokens: p.promptTokens, Attempt: 1,
+			PrefixHashes: []uint64{uint64(class*workspaceCount*prefixesPerWorkspace + workspace*prefixesPerWorkspace + prefix)},
 		},
 	}
 }
 
-// workspaceFactor makes some workspaces' answers long and others' short; the
-// mean over the workspaces, weighed by their use, is near 1.
+// workspaceFactor varies the answer lengths; its mean, weighted by requests, is about 1.
 func workspaceFactor(workspace int) float64 {
 	return 0.7 + 0.1*float64(workspace)
 }
--- a/internal/router/running.go
+++ b/internal/router/running.go
@@ -2,15 +2,13 @@
 
 import "time"
 
-// running is a request bound to a replica.
-type running struct {
+type runningRequest struct {
 	item    *item
 	replica *replicaState
-	// cached is the part of the prefixes that the replica was given before.
+	// cached is the fraction of the prompt's prefixes sent to the replica before.
 	cached     float64
 	boundAt    time.Time
 	firstToken time.Time
-	// lastToken is when the pool was last told of tokens.
-	lastToken time.Time
-	tokens    int
+	lastToken  time.Time
+	tokens     int
 }
--- a/internal/router/stats.go
+++ b/internal/router/stats.go
@@ -6,34 +6,33 @@
 type Stats struct {
 	Classes  []ClassStats
 	Replicas []ReplicaStats
-	// Bound, Refused and Cancelled count waiting requests since the start.
+	// Bound, Refused and Cancelled count requests that left the queue.
 	Bound     uint64
 	Refused   uint64
 	Cancelled uint64
 }
 
-// ClassStats counts one class's requests.
+// ClassStats is a snapshot of one class.
 type ClassStats struct {
 	Name    string
 	Tier    int
 	Waiting int
 	Running int
-	// Slack is the time left until the most urgent of the waiting has to start
-	// to meet its target; negative where it is late, zero where none waits.
+	// Slack is the time left to start the most urgent waiting request in time; negative if that
+	// has passed, zero if no request waits.
 	Slack time.Duration
 }
 
-// ReplicaStats is what the pool knows of one replica.
+// ReplicaStats is a snapshot of one replica.
 type ReplicaStats struct {
 	Name    string
 	Running int
-	// Slots is the replica's own limit, whatever its owner gave to this node.
+	// Slots is the configured concurrency limit.
 	Slots int
-	// Limit is the most requests this node runs on it at present.
+	// Limit is the most requests that this node may run on the replica now.
 	Limit int
-	// Leaving replicas get nothing new.
+	// Leaving replicas get no new requests.
 	Leaving bool
-	// Slowness is the replica's time between tokens as a multiple of the
-	// pool's usual one; 1 is usual, 0 is not known.
+	// Slowness is the time between tokens relative to the pool's median; 1 is normal.
 	Slowness float64
 }
