--- a/internal/claim/short_test.go
+++ b/internal/claim/short_test.go
@@ -30,9 +30,9 @@
 		refused refusal.Reason
 	}{
 		{"recorded", phaseRecorded, Fingerprint{}, Recorded, ""},
-		{"recorded, other content", phaseRecorded, modelContent, 0, refusal.IdempotencyReuse},
+		{"recorded, other content", phaseRecorded, modelContent, 0, refusal.IdempotencyKeyReused},
 		{"unknown", phaseUnknown, Fingerprint{}, Unknown, ""},
-		{"unknown, other content", phaseUnknown, modelContent, 0, refusal.IdempotencyReuse},
+		{"unknown, other content", phaseUnknown, modelContent, 0, refusal.IdempotencyKeyReused},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 			ask := func(at time.Duration, verdict Verdict, refused refusal.Reason) {
 				t.Helper()
 				b.now = ended.Add(at)
-				command := BeginCommand{Key: keyNumber(1), Content: test.content, Attempt: uuid.New(), Now: b.now}
+				command := BeginCommand{Key: keyNumber(1), CallFingerprint: test.content, Attempt: uuid.New(), Now: b.now}
 				state, err := b.ring.lookup(b.ring.index[digestOf(keyNumber(1))], len(b.ring.index) > 0, b.now)
 				if err != nil {
 					t.Fatal(err)
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -117,7 +117,7 @@
 			p.queue.RemoveClass(name)
 		}
 	}
-	p.lengths.SetClasses(func(class string) bool { return p.classes[class] != nil })
+	p.lengths.RetainClasses(func(class string) bool { return p.classes[class] != nil })
 }
 
 // SetWeights replaces the fair-share weights of the workspaces.
@@ -176,7 +176,7 @@
 	if victim == nil {
 		return false
 	}
-	p.shedDecisions = append(p.shedDecisions, p.refuseWaiting(victim, refusal.ShedForHigher, "the queue is full and a request of a higher tier took its place"))
+	p.shedDecisions = append(p.shedDecisions, p.refuseWaiting(victim, refusal.ShedForHigherTier, "the queue is full and a request of a higher tier took its place"))
 	p.changedAt = now
 	return true
 }
--- a/internal/router/pool_choose.go
+++ b/internal/router/pool_choose.go
@@ -19,8 +19,8 @@
 		p.candidateBuffer = append(p.candidateBuffer, p.candidate(now, request, r))
 	}
 	need := balancer.Need{
-		Prefill: p.speed.Service(request.PromptTokens, 0),
-		Answer:  p.speed.Service(0, p.answerTokens(request, estimate.Median, defaultAnswerTokens)),
+		Prefill: p.speed.ServiceTime(request.PromptTokens, 0),
+		Answer:  p.speed.ServiceTime(0, p.answerTokens(request, estimate.Median, defaultAnswerTokens)),
 	}
 	chosen := p.balancer.Choose(need, p.candidateBuffer)
 	return free[chosen], choiceOf(&p.candidateBuffer[chosen], len(free))
--- a/internal/router/pool_item.go
+++ b/internal/router/pool_item.go
@@ -44,7 +44,7 @@
 }
 
 func (p *Pool) serviceTime(request *Request, quantile int) time.Duration {
-	return p.speed.Service(request.PromptTokens, p.answerTokens(request, quantile, 0))
+	return p.speed.ServiceTime(request.PromptTokens, p.answerTokens(request, quantile, 0))
 }
 
 // latestStart returns the latest start expected to meet the targets.
@@ -59,7 +59,7 @@
 	if request.FirstTokenBy.IsZero() {
 		return latest
 	}
-	prefill := p.speed.Service(request.PromptTokens, 0)
+	prefill := p.speed.ServiceTime(request.PromptTokens, 0)
 	first := latestStartFor(request.Arrived, request.FirstTokenBy, prefill)
 	if first.Before(latest) {
 		return first
--- a/internal/router/pool_pace.go
+++ b/internal/router/pool_pace.go
@@ -19,7 +19,7 @@
 	p.slownessUpdatedAt = now
 	p.medianTokenTime = p.median(func(r *replicaState) float64 { return r.pace.Average() })
 	p.idleTokenTime = p.median(func(r *replicaState) float64 { return r.tokenTimeFloor.Value() })
-	p.speed.SetToken(p.medianTokenTime)
+	p.speed.SetTokenTime(p.medianTokenTime)
 	if p.disabled.StragglerDetection {
 		return
 	}
--- a/internal/router/pool_progress.go
+++ b/internal/router/pool_progress.go
@@ -31,11 +31,11 @@
 		return
 	}
 	if r.cached == 0 {
-		p.speed.Prefill(request.PromptTokens, took)
+		p.speed.ObservePrefill(request.PromptTokens, took)
 		p.longestPrefill = max(p.longestPrefill-p.longestPrefill/longestPrefillDecay, took)
 		return
 	}
-	uncached := p.speed.Service(request.PromptTokens, 0)
+	uncached := p.speed.ServiceTime(request.PromptTokens, 0)
 	if uncached <= 0 {
 		return
 	}
