--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -23,7 +23,7 @@
 	maxWaiting int
 	classes    map[string]*classState
 	replicas   map[string]*replicaState
-	// orderedReplicas is in configuration order.
+	// orderedReplicas is in the order in which the replicas were first configured.
 	orderedReplicas []*replicaState
 	waiting         map[string]*item
 	running         map[string]*runningRequest
--- a/internal/router/pool_stats.go
+++ b/internal/router/pool_stats.go
@@ -14,7 +14,8 @@
 	return latest.Sub(now)
 }
 
-// Stats returns a snapshot: classes by tier and name, replicas in configuration order.
+// Stats returns a snapshot: classes by tier and name, replicas in the order in which they were first
+// configured.
 func (p *Pool) Stats(now time.Time) Stats {
 	stats := p.stats
 	for _, class := range p.classes {
