--- a/internal/estimate/sketch.go
+++ b/internal/estimate/sketch.go
@@ -10,7 +10,6 @@
 )
 
 const (
-	// accuracy is the relative error of the sketches.
 	accuracy = 0.05
 	// maxBins covers lengths from 1 to over 100,000 tokens at this accuracy.
 	maxBins = 128
--- a/internal/placement/attempt.go
+++ b/internal/placement/attempt.go
@@ -9,8 +9,7 @@
 // Attempt is one request bound to a replica. It is not safe for concurrent use.
 type Attempt struct {
 	Replica replica.Replica
-	// Choice is the data that the replica was chosen by.
-	Choice Choice
+	Choice  Choice
 	// CopyFrom is the address of another replica that may have cached parts of the prompt which
 	// this one has not; empty: none.
 	CopyFrom string
@@ -125,7 +124,7 @@
 	}
 }
 
-// learnServiceTime updates the average service time. The lock is held.
+// learnServiceTime is called with the lock held.
 func (u *upstream) learnServiceTime(took time.Duration) {
 	u.serviceMS += serviceWeight * (float64(took.Milliseconds()) - u.serviceMS)
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -9,7 +9,6 @@
 	"galenatrestle/internal/replica"
 )
 
-// BenchmarkChoose measures one choice among engine replicas.
 func BenchmarkChoose(b *testing.B) {
 	for _, replicas := range []int{12, 60, 3000} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
@@ -31,7 +30,6 @@
 	}
 }
 
-// benchPlacer returns a placer with the given number of replicas, ten of them in use.
 func benchPlacer(replicas int) (*Placer, time.Time) {
 	set := replica.NewSet()
 	listing := replica.Listing{Revision: 1}
--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -26,7 +26,6 @@
 	prefilledAt time.Time
 }
 
-// add records that the parts were sent to the replica.
 func (c *cache) add(now time.Time, parts []PromptPart) {
 	for _, p := range parts {
 		c.touch(now, p.ID)
@@ -34,7 +33,6 @@
 	c.evict(now)
 }
 
-// touch records the use of one part.
 func (c *cache) touch(now time.Time, id uint64) {
 	if c.parts == nil {
 		c.parts = make(map[uint64]cachedPart)
@@ -47,7 +45,6 @@
 	c.parts[id] = part
 }
 
-// markPrefilled records that the replica has prefilled the parts.
 func (c *cache) markPrefilled(now time.Time, parts []PromptPart) {
 	for _, p := range parts {
 		if part, known := c.parts[p.ID]; known && part.prefilledAt.After(now) {
@@ -93,7 +90,6 @@
 	return length(parts[:c.deepest(now, parts)+1])
 }
 
-// prefilled reports whether the deepest cached part is prefilled.
 func (c *cache) prefilled(now time.Time, parts []PromptPart) bool {
 	i := c.deepest(now, parts)
 	return i >= 0 && !c.parts[parts[i].ID].prefilledAt.After(now)
--- a/internal/placement/choice.go
+++ b/internal/placement/choice.go
@@ -31,7 +31,7 @@
 	PrefillSpeed float64
 }
 
-// newChoice returns the data that the replica was chosen by. The lock is held.
+// newChoice is called with the lock held.
 func (u *upstream) newChoice(now time.Time, r *Request, d *decision) Choice {
 	s := d.state
 	c := Choice{
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -7,7 +7,6 @@
 
 // The cost of a replica is in milliseconds of latency.
 const (
-	// runningCost is the latency added by each running request.
 	runningCost = 1.5
 	// recomputeCost is the cost of each shared token that must be prefilled again although another
 	// replica has it cached, in addition to the time it takes: the operator pays for the work.
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -93,7 +93,6 @@
 	return sums
 }
 
-// minus subtracts one node's load from a sum.
 func (l Load) minus(part Load) Load {
 	l.Running = max(l.Running-part.Running, 0)
 	l.RunningShort = max(l.RunningShort-part.RunningShort, 0)
@@ -102,7 +101,6 @@
 	return l
 }
 
-// sumsToList returns the sums as a list of at most maxFleetLoads, most used first.
 func sumsToList(sums map[string]Load) []Load {
 	list := make([]Load, 0, len(sums))
 	for _, l := range sums {
@@ -111,7 +109,6 @@
 	return mostUsed(list, maxFleetLoads)
 }
 
-// scale multiplies the counts of all sums.
 func scale(sums map[string]Load, by float64) {
 	for replica, sum := range sums {
 		sum.Running = int(math.Round(by * float64(sum.Running)))
--- a/internal/placement/peers.go
+++ b/internal/placement/peers.go
@@ -13,7 +13,6 @@
 	receivedAt time.Time
 }
 
-// recent reports whether the loads are still valid.
 func (l *peerLoads) recent(now time.Time) bool { return now.Sub(l.receivedAt) <= peerLoadTTL }
 
 // SetPeerLoads records another node's load report; inGroup if this node aggregates that node's
@@ -93,7 +92,6 @@
 	return sums
 }
 
-// dropExpired deletes reports older than peerLoadTTL.
 func dropExpired(reports map[string]peerLoads, now time.Time) {
 	for name, loads := range reports {
 		if !loads.recent(now) {
@@ -102,7 +100,6 @@
 	}
 }
 
-// applyPeerLoads updates the other nodes' loads in all upstreams.
 func (p *Placer) applyPeerLoads(alive int, now time.Time) {
 	sums := p.peerSums(alive, now)
 	for _, u := range p.all() {
--- a/internal/placement/placements.go
+++ b/internal/placement/placements.go
@@ -26,7 +26,6 @@
 	byReplica map[string]map[uint64]announcedPart
 }
 
-// announcedPart is when a part was recorded, and until when it is announced.
 type announcedPart struct {
 	recordedAt, expiresAt time.Time
 }
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -12,7 +12,6 @@
 
 var start = time.Date(2026, 3, 6, 20, 0, 0, 0, time.UTC)
 
-// fleet returns a placer for n replicas of upstream "u" in two zones.
 func fleet(n int, seed uint64) (*Placer, *replica.Set) {
 	set := replica.NewSet()
 	register(set, 1, n)
@@ -49,7 +48,6 @@
 	two, _ := fleet(12, 2)
 	placedOn := make(map[uint64]string)
 	for i := range uint64(40) {
-		// Sessions without a part in common.
 		session := 50 * (i + 2)
 		now := start.Add(time.Duration(session) * time.Second)
 		a := one.Choose(now, "u", long(session))
--- a/internal/placement/places.go
+++ b/internal/placement/places.go
@@ -38,8 +38,6 @@
 	return u.answerMS * (before + 1) / float64(slots)
 }
 
-// learnAnswerTime updates the average time from the first byte of an engine's answer to its
-// end.
 func (u *upstream) learnAnswerTime(took time.Duration) {
 	ms := float64(took.Milliseconds())
 	if u.answerMS == 0 {
--- a/internal/placement/prefix.go
+++ b/internal/placement/prefix.go
@@ -44,7 +44,6 @@
 	return p
 }
 
-// cachedAt returns the number of tokens expected in the replica's cache.
 func (p *prefixLocation) cachedAt(now time.Time, r *Request, s *replicaState) int {
 	cached := s.cache.cachedTokens(now, r.Shared)
 	if s == p.primary {
--- a/internal/placement/ratelimits.go
+++ b/internal/placement/ratelimits.go
@@ -8,10 +8,9 @@
 
 // rateLimits is the state of the rate limited replicas during one choice.
 type rateLimits struct {
-	permits *ratelimit.Permits
-	limits  map[string]ratelimit.Limit
-	now     time.Time
-	// excludeLimited excludes all rate limited replicas.
+	permits        *ratelimit.Permits
+	limits         map[string]ratelimit.Limit
+	now            time.Time
 	excludeLimited bool
 }
 
@@ -22,7 +21,6 @@
 	return rateLimits{permits: u.permits, limits: u.permits.Limits(), now: now}
 }
 
-// isLimited reports whether the replica is rate limited.
 func (l *rateLimits) isLimited(s *replicaState) bool { return ratelimit.Limited(l.limits, &s.replica) }
 
 // allows reports whether the replica may be chosen: it is not rate limited, or a permit may be
--- a/internal/placement/reading.go
+++ b/internal/placement/reading.go
@@ -25,7 +25,6 @@
 	return total
 }
 
-// plus returns the sum of both.
 func (r PrefillBacklog) plus(other *PrefillBacklog) PrefillBacklog {
 	for rank := range r {
 		r[rank] += other[rank]
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -37,7 +37,6 @@
 	return length(r.Shared)
 }
 
-// length returns the total number of tokens of the parts.
 func length(parts []PromptPart) int {
 	total := 0
 	for _, p := range parts {
--- a/internal/placement/split.go
+++ b/internal/placement/split.go
@@ -51,7 +51,6 @@
 	updatedAt           time.Time
 }
 
-// learnPrompt updates the average prompt length of the request's class.
 func (u *upstream) learnPrompt(r *Request) {
 	if r.PromptTokens == 0 {
 		return
@@ -63,7 +62,6 @@
 	u.usualPromptTokens[r.Class] = usual + promptWeight*(float64(r.PromptTokens)-usual)
 }
 
-// hasLongPrompts reports whether the request's class has long prompts.
 func (u *upstream) hasLongPrompts(r *Request) bool {
 	return u.usualPromptTokens[r.Class] >= longPromptFrom
 }
@@ -133,7 +131,6 @@
 	return part * stallCost * float64(s.runningShort+s.peersRunningShort)
 }
 
-// sideCost returns the cost of placing the request on the given side.
 func (u *upstream) sideCost(r *Request, onShortSide bool) float64 {
 	switch {
 	case r.PromptTokens == 0 || u.hasLongPrompts(r) != onShortSide:
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -7,7 +7,6 @@
 	"galenatrestle/internal/replica"
 )
 
-// replicaState is the known state of one replica.
 type replicaState struct {
 	replica replica.Replica
 	// running is the number of this node's attempts at the replica, runningShort those of classes
@@ -61,7 +60,6 @@
 	s.scoredAt = now
 }
 
-// recover reduces the failure score after a success.
 func (s *replicaState) recover(now time.Time) {
 	if s.failureScore == 0 {
 		return
--- a/internal/placement/upstream.go
+++ b/internal/placement/upstream.go
@@ -17,8 +17,6 @@
 // observation.
 const initialServiceMS = 30.0
 
-// serviceWeight is the weight of one observation in the average answer time of a plain
-// service.
 const serviceWeight = 0.05
 
 // upstream is the state of one upstream's replicas.
@@ -103,7 +101,6 @@
 	}
 }
 
-// decision is the chosen replica and what it was chosen by.
 type decision struct {
 	state *replicaState
 	cost  float64
@@ -179,7 +176,6 @@
 }
 
 const (
-	// costJitter is the relative jitter of costs.
 	costJitter = 0.1
 	// tieSpread is the absolute jitter, in milliseconds, that spreads requests over idle replicas.
 	// It is less than the cost of another availability zone.
--- a/internal/replica/delta.go
+++ b/internal/replica/delta.go
@@ -19,7 +19,6 @@
 	Removed []string
 }
 
-// diffListings returns the delta from old to next.
 func diffListings(old, next Listing) Delta {
 	delta := Delta{From: old.Digest}
 	left := make(map[string]Replica, len(old.Replicas))
--- a/internal/replica/set_test.go
+++ b/internal/replica/set_test.go
@@ -8,7 +8,6 @@
 	"galenatrestle/internal/boottime"
 )
 
-// at returns the instant ms milliseconds after the start.
 func at(ms int) boottime.Instant { return boottime.Instant(time.Duration(ms) * time.Millisecond) }
 
 func listing(revision int64, ids ...string) Listing {
