--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -78,7 +78,7 @@
 func (e *exchange) admit(c *placement.Choice) overload.Verdict {
 	return e.forwarder.gates.Of(e.call.Upstream).Decide(time.Now(), overload.Request{
 		Rank: e.call.Rank, Objective: e.call.Route.Objective, Left: time.Until(e.call.Deadline),
-		Ahead: c.Wait - c.Own, Own: c.Own, MemoryUsed: c.Used,
+		Ahead: c.FirstTokenTime - c.OwnPrefill, Own: c.OwnPrefill, MemoryUsed: c.MemoryFraction,
 	})
 }
 
@@ -102,7 +102,7 @@
 	return &Failure{
 		Result: placement.Cancelled, NotRun: true, Step: stepChoose, Peer: place.Replica.Address, RetryAfter: v.RetryAfter,
 		Cause: fmt.Errorf("%w (%s): %s expected at the best of %d replicas, memory used %.2f, %d requests there",
-			errOverloaded, v.Reason, c.Wait.Round(time.Millisecond), c.Among, c.Used, c.Running),
+			errOverloaded, v.Reason, c.FirstTokenTime.Round(time.Millisecond), c.Candidates, c.MemoryFraction, c.Running),
 	}
 }
 
@@ -229,7 +229,7 @@
 // response is unusable.
 func (a *attempt) failedAt(step string, cause error) *Failure {
 	f := &Failure{
-		Result:         placement.Broken,
+		Result:         placement.Interrupted,
 		ReachedReplica: a.conn.Sent(),
 		NotRun:         !a.conn.Sent(),
 		Step:           step,
@@ -244,11 +244,11 @@
 	// If this side closed the connection, the reason for that is the cause.
 	switch {
 	case a.idleTimedOut.Load():
-		f.Result, f.Cause, f.RetryReserved = placement.Silent, errIdleTimeout, true
+		f.Result, f.Cause, f.RetryReserved = placement.TimedOut, errIdleTimeout, true
 	case a.exchange.callerCtx.Err() != nil:
 		f.Result, f.Cause = placement.Cancelled, errCallerGone
 	case a.exchange.ctx.Err() != nil && a.exchange.firstByteAt.IsZero():
-		f.Result, f.Cause = placement.Silent, errDeadline
+		f.Result, f.Cause = placement.TimedOut, errDeadline
 	case a.exchange.ctx.Err() != nil:
 		f.Result, f.Cause = placement.Cancelled, errDeadline
 	}
@@ -293,7 +293,7 @@
 	if err != nil {
 		return a.failedAt(stepReadBody, err)
 	}
-	a.place.Responded(time.Now())
+	a.place.ErrorReceived(time.Now())
 	a.exchange.countRun()
 	return &Failure{
 		Result: placement.Errored, ReachedReplica: true, Step: stepAnswer, Peer: a.place.Replica.Address,
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -43,7 +43,7 @@
 }
 
 func (c *Call) newPlacementRequest() placement.Request {
-	r := placement.Request{Class: c.Route.Name, Rank: c.Rank, PromptTokens: c.Prompt.Tokens, MemoryTokens: c.MemoryTokens, CopiesPrompts: c.CopiesPrompts, AnswerTokens: c.Prompt.ExpectedAnswerTokens}
+	r := placement.Request{Class: c.Route.Name, Rank: c.Rank, PromptTokens: c.Prompt.Tokens, MemoryTokens: c.MemoryTokens, CanCopyCache: c.CopiesPrompts, AnswerTokens: c.Prompt.ExpectedAnswerTokens}
 	if r.AnswerTokens == 0 {
 		r.AnswerTokens = c.Prompt.MaxAnswerTokens
 	}
--- a/internal/forward/codec.go
+++ b/internal/forward/codec.go
@@ -44,7 +44,7 @@
 	// ExpectedAnswerTokens is the caller's estimate; zero if not given.
 	ExpectedAnswerTokens int
 	// Parts are the prompt's parts in order; the last is unique to the call.
-	Parts []placement.Part
+	Parts []placement.PromptPart
 }
 
 // AttemptHeaders are the headers that this system adds to a replica's request.
--- a/internal/forward/crashes.go
+++ b/internal/forward/crashes.go
@@ -51,7 +51,7 @@
 		c.tracker.Finished(time.Now(), run.Fingerprint)
 		return
 	}
-	if f.Result != placement.Broken || !f.ReachedReplica {
+	if f.Result != placement.Interrupted || !f.ReachedReplica {
 		c.running.Finish(run)
 		return
 	}
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -22,7 +22,7 @@
 // is rate-limited. Without a permit it tries another replica.
 func (e *exchange) chooseReplica() (*placement.Attempt, *Failure) {
 	permitDeadline := time.Now().Add(maxPermitWait)
-	e.placementRequest.WithoutLimited = false
+	e.placementRequest.ExcludeRateLimited = false
 	for {
 		place := e.forwarder.options.Placer.Choose(time.Now(), e.call.Upstream, &e.placementRequest)
 		if place == nil {
@@ -35,7 +35,7 @@
 			return place, nil
 		}
 		place.End(time.Now(), placement.Cancelled)
-		e.placementRequest.WithoutLimited = time.Now().After(permitDeadline)
+		e.placementRequest.ExcludeRateLimited = time.Now().After(permitDeadline)
 	}
 }
 
@@ -47,7 +47,7 @@
 	if !asked.Given() {
 		return false
 	}
-	place.Permitted(time.Now())
+	place.PermitGranted(time.Now())
 	return true
 }
 
@@ -55,7 +55,7 @@
 	f := &Failure{Result: placement.Cancelled, NotRun: true, Step: stepChoose, Peer: e.call.Upstream, Cause: errNoReplica}
 	now := time.Now()
 	if limited := e.forwarder.options.Placer.RateLimited(now, e.call.Upstream); limited.Replicas > 0 {
-		f.RetryAfter = overload.ReturnAfter(limited.Next.Sub(now), e.call.Deadline.Sub(now))
+		f.RetryAfter = overload.ReturnAfter(limited.NextPermitAt.Sub(now), e.call.Deadline.Sub(now))
 		f.Cause = fmt.Errorf("%w: %d rate-limited replicas, no permit left", errRateLimited, limited.Replicas)
 	}
 	return f
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -26,7 +26,7 @@
 	if !e.call.Route.MayRunAgain() || e.mayHaveRun+1 >= e.call.Route.MaxAttempts {
 		return 0
 	}
-	return max(e.call.Route.Objective, minFirstByteTimeout) + expectedWaitFactor*a.place.Choice.Wait
+	return max(e.call.Route.Objective, minFirstByteTimeout) + expectedWaitFactor*a.place.Choice.FirstTokenTime
 }
 
 // eventTimeout returns how long to wait for a stream's next event; zero means
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -63,7 +63,7 @@
 		a.recordFirstByte()
 		e.callerResponse.writeHead(a.response, -1)
 	} else {
-		a.place.Heard(time.Now())
+		a.place.DataReceived(time.Now())
 	}
 	e.recordEvents(time.Now())
 	a.resetIdleTimer(a.eventTimeout())
@@ -85,7 +85,7 @@
 
 func (a *attempt) recordFirstByte() {
 	now := time.Now()
-	a.place.Begun(now)
+	a.place.AnswerStarted(now)
 	a.exchange.countRun()
 	if a.exchange.firstByteAt.IsZero() {
 		a.exchange.firstByteAt = now
--- a/internal/router/pool_item.go
+++ b/internal/router/pool_item.go
@@ -47,12 +47,12 @@
 
 // service estimates how long the request would run.
 func (p *Pool) service(request *Request, quantile int) time.Duration {
-	return p.speed.Service(request.PromptTokens, p.length(request, quantile, 0))
+	return p.speed.ServiceTime(request.PromptTokens, p.length(request, quantile, 0))
 }
 
 // latestStart is the latest start expected to meet the request's targets.
 func (p *Pool) latestStart(request *Request) time.Time {
-	if p.without.Slack {
+	if p.without.SlackOrder {
 		return request.Arrived.Add(arrivalOrder)
 	}
 	latest := request.GiveUpAt
@@ -62,7 +62,7 @@
 	if request.FirstTokenBy.IsZero() {
 		return latest
 	}
-	prefill := p.speed.Service(request.PromptTokens, 0)
+	prefill := p.speed.ServiceTime(request.PromptTokens, 0)
 	first := startBy(request.Arrived, request.FirstTokenBy, prefill)
 	if first.Before(latest) {
 		return first
@@ -72,7 +72,7 @@
 
 // uselessFrom is when a start is no longer expected to be of use.
 func (p *Pool) uselessFrom(request *Request) time.Time {
-	if p.without.Estimates {
+	if p.without.LengthEstimates {
 		return request.GiveUpAt
 	}
 	return startBy(request.Arrived, request.GiveUpAt, p.service(request, estimate.P90))
