--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -20,8 +20,8 @@
 	Rank int
 	// MemoryTokens is a replica's memory capacity in tokens; zero if unknown.
 	MemoryTokens int
-	// CopiesPrompts is true if replicas can copy cached prompt parts from each other.
-	CopiesPrompts bool
+	// CanCopyCache is true if replicas can copy cached prompt parts from each other.
+	CanCopyCache bool
 	// MaxConnections limits this node's connections to one replica; zero for no limit.
 	MaxConnections int
 	Method         string
@@ -43,7 +43,7 @@
 }
 
 func (c *Call) newPlacementRequest() placement.Request {
-	r := placement.Request{Class: c.Route.Name, Rank: c.Rank, PromptTokens: c.Prompt.Tokens, MemoryTokens: c.MemoryTokens, CanCopyCache: c.CopiesPrompts, AnswerTokens: c.Prompt.ExpectedAnswerTokens}
+	r := placement.Request{Class: c.Route.Name, Rank: c.Rank, PromptTokens: c.Prompt.Tokens, MemoryTokens: c.MemoryTokens, CanCopyCache: c.CanCopyCache, AnswerTokens: c.Prompt.ExpectedAnswerTokens}
 	if r.AnswerTokens == 0 {
 		r.AnswerTokens = c.Prompt.MaxAnswerTokens
 	}
--- a/internal/passthrough/check.go
+++ b/internal/passthrough/check.go
@@ -106,7 +106,7 @@
 func (h *Handler) bound(c *forward.Call, u *route.Upstream) {
 	if u.Engine != nil {
 		c.MemoryTokens = u.Engine.MemoryTokens
-		c.CopiesPrompts = u.Engine.CopiesPrompts
+		c.CanCopyCache = u.Engine.CopiesPrompts
 	}
 	if u.MaxConnections > 0 {
 		// This node's share of what one replica accepts of all nodes.
