--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -286,8 +286,8 @@
 }
 
 func (a *attempt) readReplicaFailure() *Failure {
-	body, whole, err := readBounded(a.response.Body)
-	if err == nil && !whole {
+	body, complete, err := readBounded(a.response.Body)
+	if err == nil && !complete {
 		err = errResponseTooLong
 	}
 	if err != nil {
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -22,21 +22,21 @@
 }
 
 func discard(r *http.Response) error {
-	_, whole, err := readBounded(r.Body)
-	if err == nil && !whole {
+	_, complete, err := readBounded(r.Body)
+	if err == nil && !complete {
 		err = errResponseTooLong
 	}
 	return err
 }
 
 func (a *attempt) forwardBody() *Failure {
-	body, whole, err := readBounded(a.response.Body)
+	body, complete, err := readBounded(a.response.Body)
 	if err != nil {
 		return a.failedAt(stepReadBody, err)
 	}
 	a.recordFirstByte()
-	if whole {
-		return a.writeFailure(a.exchange.callerResponse.writeWhole(a.response, body))
+	if complete {
+		return a.writeFailure(a.exchange.callerResponse.writeComplete(a.response, body))
 	}
 	return a.forwardLongBody(body)
 }
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -73,7 +73,6 @@
 	return fields
 }
 
-// retryDecided is logged with the retry decision after a failed attempt.
 type retryDecided struct {
 	exchange *exchange
 	failure  *Failure
@@ -143,7 +142,6 @@
 	return fields
 }
 
-// permitAsked is logged with the result of a permit request for a replica.
 type permitAsked struct {
 	exchange *exchange
 	replica  string
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -421,9 +421,9 @@
 		for range calls {
 			serve(t, f, call(route.Idempotent, 2))
 		}
-		added := requests(list) - calls
-		if limit := int(0.75 * (0.2*calls + 40)); added > limit || added < limit-1 {
-			t.Errorf("%d retries for %d calls, want about %d", added, calls, limit)
+		retries := requests(list) - calls
+		if limit := int(0.75 * (0.2*calls + 40)); retries > limit || retries < limit-1 {
+			t.Errorf("%d retries for %d calls, want about %d", retries, calls, limit)
 		}
 	})
 }
--- a/internal/forward/outlet.go
+++ b/internal/forward/outlet.go
@@ -82,7 +82,7 @@
 	return o.control.Flush()
 }
 
-func (o *callerResponse) writeWhole(r *http.Response, body []byte) error {
+func (o *callerResponse) writeComplete(r *http.Response, body []byte) error {
 	o.writeHead(r, int64(len(body)))
 	return o.write(body)
 }
--- a/internal/forward/place_test.go
+++ b/internal/forward/place_test.go
@@ -24,13 +24,13 @@
 
 // fakeIssuer grants or refuses permits and counts the requests for them.
 type fakeIssuer struct {
-	given bool
-	err   error
-	asks  int
+	given          bool
+	err            error
+	permitRequests int
 }
 
 func (a *fakeIssuer) ask(_ context.Context, l ratelimit.Limit) (ratelimit.Grant, error) {
-	a.asks++
+	a.permitRequests++
 	return ratelimit.Grant{Given: a.given, RetryAfter: 800 * time.Millisecond}, a.err
 }
 
@@ -62,8 +62,8 @@
 				if got := requests(list); got != test.runs {
 					t.Errorf("replica got %d requests, want %d", got, test.runs)
 				}
-				if test.runs == 1 && test.issuer.asks != 1 {
-					t.Errorf("%d permit requests within the retry delay of a refusal, want 1", test.issuer.asks)
+				if test.runs == 1 && test.issuer.permitRequests != 1 {
+					t.Errorf("%d permit requests within the retry delay of a refusal, want 1", test.issuer.permitRequests)
 				}
 			})
 		})
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -53,7 +53,7 @@
 	if a.exchange.callerResponse.hasStarted() {
 		return nil
 	}
-	return a.writeFailure(a.exchange.callerResponse.writeWhole(a.response, nil))
+	return a.writeFailure(a.exchange.callerResponse.writeComplete(a.response, nil))
 }
 
 // forwardEvents writes complete events, flushes them and records the last event ID.
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -11,8 +11,8 @@
 	"galenatrestle/internal/route"
 )
 
-// events writes the chunks, and ends the stream if whole is set.
-func events(whole bool, chunks ...string) forwardtest.Script {
+// events writes the chunks, and ends the stream if complete is set.
+func events(complete bool, chunks ...string) forwardtest.Script {
 	return func(c *forwardtest.Conn) bool {
 		if c.StartStream() != nil {
 			return false
@@ -22,7 +22,7 @@
 				return false
 			}
 		}
-		return whole && c.WriteChunk("") == nil
+		return complete && c.WriteChunk("") == nil
 	}
 }
 
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -22,7 +22,7 @@
 		budgets = append(budgets, New(limits(nodes)))
 	}
 	const steps = 600 // of 100 ms each
-	requests, added := make([]int, steps), make([]int, steps)
+	requests, retries := make([]int, steps), make([]int, steps)
 	for step := range steps {
 		now := start.Add(time.Duration(step) * 100 * time.Millisecond)
 		for range 10 + 10*(step/100%2) {
@@ -31,7 +31,7 @@
 			requests[step]++
 			for range 3 {
 				if b.Take(now, "u") {
-					added[step]++
+					retries[step]++
 				}
 			}
 		}
@@ -41,7 +41,7 @@
 		sentBefore, spent := 0, 0
 		for step := max(end-2*window, 0); step < end; step++ {
 			if step >= end-window {
-				spent += added[step]
+				spent += retries[step]
 			}
 			sentBefore += requests[step]
 		}
