--- a/internal/claim/fakecall_test.go
+++ b/internal/claim/fakecall_test.go
@@ -91,7 +91,7 @@
 	if refused.Outcome != refusal.NotRun {
 		t.Errorf("refusal %v has outcome %s", refused, refused.Outcome)
 	}
-	if runsBefore > 0 && refused.Reason != refusal.IdempotencyReuse {
+	if runsBefore > 0 && refused.Reason != refusal.IdempotencyKeyReused {
 		t.Errorf("%v had run, but a repeat got not-run: %v", key, refused)
 	}
 	return resultNotRun
--- a/internal/claim/known_test.go
+++ b/internal/claim/known_test.go
@@ -36,7 +36,7 @@
 			}
 		}
 		_, _, err = nodes[0].Lookup(t.Context(), testKey, FingerprintOf("POST", "/claims", []byte("other")))
-		if refused := refusal.From(err); err == nil || refused.Reason != refusal.IdempotencyReuse {
+		if refused := refusal.From(err); err == nil || refused.Reason != refusal.IdempotencyKeyReused {
 			t.Errorf("another content got %v", err)
 		}
 	})
--- a/internal/claim/ledger.go
+++ b/internal/claim/ledger.go
@@ -7,8 +7,8 @@
 type Ledger interface {
 	// Begin claims the call. The caller may send it only if the verdict is Run. Every
 	// error is a *refusal.Error and means that this request is not sent: ClaimStoreDown
-	// if the claim could not be made durable in time, ClaimLedger if the ledger is full,
-	// IdempotencyReuse if the key was used with different content, IdempotencyNeeds or
+	// if the claim could not be made durable in time, ClaimLedgerFull if the ledger is full,
+	// IdempotencyKeyReused if the key was used with different content, IdempotencyKeyRequired or
 	// BadRequest for a key that cannot be claimed. The outcome of the refusal is not-run
 	// if no earlier request with the key has run either, otherwise unknown.
 	Begin(ctx context.Context, key Key, content Fingerprint) (BeginResult, error)
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -122,7 +122,7 @@
 // key has run. Only the current holder can know that.
 func impliesNotRun(decision Decision) bool {
 	switch decision.Refused {
-	case refusal.ClaimStoreDown, refusal.ClaimLedger, refusal.QuotaExceeded:
+	case refusal.ClaimStoreDown, refusal.ClaimLedgerFull, refusal.QuotaExceeded:
 		return true
 	}
 	return false
@@ -173,7 +173,7 @@
 		s.wakeWriter()
 	}
 	if s.ring.isFull() {
-		return refusal.ClaimLedger
+		return refusal.ClaimLedgerFull
 	}
 	return ""
 }
--- a/internal/forward/forwardtest/fleet.go
+++ b/internal/forward/forwardtest/fleet.go
@@ -23,33 +23,33 @@
 	"galenatrestle/internal/retrybudget"
 )
 
-// Fleet is a forwarder before replicas.
+// Fleet is a forwarder connected to scripted replicas.
 type Fleet struct {
 	*forward.Forwarder
 	Set     *replica.Set
 	Conns   *replicaconn.Pool
 	Budget  *retrybudget.Budget
 	Tracker *quarantine.Tracker
-	// Permits are those of this node.
+	// Permits are the rate-limit permits of this node.
 	Permits *ratelimit.Permits
-	// Metrics is where the forwarder's metrics are.
+	// Metrics is the registry of the forwarder's metrics.
 	Metrics *prometheus.Registry
-	// Connecting is called before each new connection, if set.
-	Connecting func(address string)
+	// OnDial is called before each new connection; may be nil.
+	OnDial func(address string)
 
 	replicas map[string]*Replica
 	revision int64
 }
 
-// NewFleet returns a forwarder before the replicas, of which it chooses in the
-// order of a fixed random source. The replicas end with the test.
+// NewFleet returns a forwarder for the replicas, with a fixed random seed for
+// placement. The replicas are stopped when the test ends.
 func NewFleet(t testing.TB, replicas ...*Replica) *Fleet {
 	f := &Fleet{Set: replica.NewSet(), replicas: make(map[string]*Replica), Tracker: quarantine.NewTracker(0), Metrics: prometheus.NewRegistry()}
 	for _, r := range replicas {
 		f.replicas[r.Address] = r
 		t.Cleanup(r.Crash)
 	}
-	f.List(replicas...)
+	f.SetReplicas(replicas...)
 	f.Conns = replicaconn.NewPool(f.dial, nil)
 	f.Budget = retrybudget.New(retrybudget.Limits{Ratio: 0.2, Window: 10 * time.Second, Allowance: 40, Nodes: 1})
 	log := eventlog.New(io.Discard, "test")
@@ -60,22 +60,22 @@
 	f.Forwarder = forward.New(forward.Options{
 		Placer:   placer,
 		Replicas: f.Set, Conns: f.Conns, Codec: Codec{}, Budget: f.Budget,
-		Crashes: forward.NewCrashes(f.Tracker, f.probe, log),
-		Limits:  limits, Permits: f.Permits,
+		CrashGuard: forward.NewCrashGuard(f.Tracker, f.probe, log),
+		RateLimits: limits, Permits: f.Permits,
 		Log: log, Registry: f.Metrics,
 	})
 	return f
 }
 
-// List registers the replicas, and no others.
-func (f *Fleet) List(replicas ...*Replica) {
+// SetReplicas replaces the list of registered replicas.
+func (f *Fleet) SetReplicas(replicas ...*Replica) {
 	f.revision++
 	listing := replica.Listing{Revision: f.revision}
 	for _, r := range replicas {
 		listing.Replicas = append(listing.Replicas, r.Replica)
 	}
 	now := boottime.Instant(f.revision) * boottime.Instant(time.Millisecond)
-	f.Set.Take(listing, now, now)
+	f.Set.Update(listing, now, now)
 }
 
 func (f *Fleet) probe(ctx context.Context, r replica.Replica) error {
@@ -83,8 +83,8 @@
 }
 
 func (f *Fleet) dial(_ context.Context, address string) (net.Conn, error) {
-	if f.Connecting != nil {
-		f.Connecting(address)
+	if f.OnDial != nil {
+		f.OnDial(address)
 	}
 	conn, up := f.replicas[address].connect()
 	if !up {
--- a/internal/membership/runner_test.go
+++ b/internal/membership/runner_test.go
@@ -12,10 +12,10 @@
 	"galenatrestle/internal/membership/membershiptest"
 )
 
-func TestRunnersJoinSpreadAndNoticeDeath(t *testing.T) {
+func TestRunnersJoinGossipAndDetectDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		net := membershiptest.NewNet()
+		net := membershiptest.NewNetwork()
 		var running sync.WaitGroup
 		var runners []*Runner
 		var got sync.Map
@@ -27,7 +27,7 @@
 			r := NewRunner(self, Settings{}, net, rand.New(rand.NewPCG(3, uint64(i))))
 			r.AddSeed(nodeName("r", 0))
 			r.OnNote("k", func(n *membershipv1.Note) { got.Store(name, string(n.Value)) })
-			net.Start(name, r)
+			net.Register(name, r)
 			runners = append(runners, r)
 			own, stop := context.WithCancel(ctx)
 			stops[name] = stop
@@ -45,15 +45,15 @@
 		time.Sleep(3 * time.Second)
 		for i := 1; i < n; i++ {
 			if value, _ := got.Load(nodeName("r", i)); value != "v" {
-				t.Errorf("node %d got %v as note", i, value)
+				t.Errorf("node %d received note value %v, want v", i, value)
 			}
 		}
-		net.Stop(nodeName("r", 4))
+		net.Unregister(nodeName("r", 4))
 		stops[nodeName("r", 4)]()
 		time.Sleep(20 * time.Second)
 		for _, m := range first.Members() {
 			if m.Name == nodeName("r", 4) {
-				t.Errorf("the killed member is still %s", m.State)
+				t.Errorf("the stopped member is still %s", m.State)
 			}
 		}
 		cancel()
--- a/internal/placement/result.go
+++ b/internal/placement/result.go
@@ -1,35 +1,34 @@
 package placement
 
-// Result says how a replica treated an attempt.
+// Result is the outcome of an attempt.
 type Result int
 
-// The results.
+// Outcomes of attempts.
 const (
-	// Answered attempts brought an answer or its first event.
+	// Answered means that the replica sent an answer or its first event.
 	Answered Result = iota
-	// Cancelled attempts were ended by this side and say nothing.
+	// Cancelled means that this side ended the attempt; it says nothing about the replica.
 	Cancelled
-	// Full replicas refused the attempt before running it.
+	// Full means that the replica rejected the request before running it.
 	Full
-	// Errored replicas answered with a failure of their own.
+	// Errored means that the replica answered with an error.
 	Errored
-	// Broken attempts lost their connection or their answer's end.
-	Broken
-	// Silent attempts brought nothing in the time allowed.
-	Silent
-	// Unreachable replicas took no connection.
+	// Interrupted means that the connection was lost or the answer was incomplete.
+	Interrupted
+	// TimedOut means that the replica sent nothing in time.
+	TimedOut
+	// Unreachable means that the connection could not be established.
 	Unreachable
-	// Replaced replicas have given their address to another process.
+	// Replaced means that the replica's address now belongs to another process.
 	Replaced
 )
 
-// penalties are the failures that a result counts for. The scale is relative:
-// one Broken is 1.
+// penalties is the failure score that each result adds, relative to Interrupted.
 var penalties = map[Result]float64{
 	Full:        0.5,
 	Errored:     0.7,
-	Broken:      1,
-	Silent:      3,
+	Interrupted: 1,
+	TimedOut:    3,
 	Unreachable: 6,
 	Replaced:    50,
 }
--- a/internal/router/routertest/decider.go
+++ b/internal/router/routertest/decider.go
@@ -7,12 +7,12 @@
 	"galenatrestle/internal/router"
 )
 
-// decider is the part of router.Pool that a run drives.
+// decider is the part of router.Pool used by a run.
 type decider interface {
 	Submit(now time.Time, request router.Request) *refusal.Error
-	Next(now time.Time) []router.Event
-	FirstToken(now time.Time, id string)
-	Tokens(now time.Time, id string, n int)
+	Decide(now time.Time) []router.Decision
+	RecordFirstToken(now time.Time, id string)
+	RecordTokens(now time.Time, id string, n int)
 	Finish(now time.Time, id string, result router.Result)
-	Report(now time.Time, replica string, load router.Load)
+	RecordLoad(now time.Time, replica string, load router.LoadReport)
 }
