--- a/internal/claim/gather_test.go
+++ b/internal/claim/gather_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestWriteBatching counts the platform writes of one shard: a single claim and its outcome are
-// written immediately, a busy shard writes once per FlushInterval, and large changes are
-// written without waiting for FlushInterval, at the rate limit of the platform.
+// TestWriteBatching counts the platform writes of one shard: a single claim and its
+// outcome are written immediately, a busy shard writes once per FlushInterval, and large
+// changes are written without waiting for FlushInterval, within the write rate limit.
 func TestWriteBatching(t *testing.T) {
 	cases := []struct {
 		name string
--- a/internal/claim/hint_test.go
+++ b/internal/claim/hint_test.go
@@ -26,10 +26,10 @@
 func TestHintSupersedes(t *testing.T) {
 	old, current, next := Hint{Holder: "n2", Epoch: 4}, Hint{Holder: "n3", Epoch: 5}, Hint{Holder: "n4", Epoch: 6}
 	cases := []struct {
-		name     string
-		hint     Hint
-		known    Hint
-		improves bool
+		name  string
+		hint  Hint
+		known Hint
+		want  bool
 	}{
 		{"older", old, current, false},
 		{"older, the newer holder did not respond", old, Hint{Epoch: 5}, false},
@@ -40,7 +40,7 @@
 		{"without an epoch, nothing known", Hint{Holder: "n2"}, Hint{}, true},
 	}
 	for _, test := range cases {
-		if got := test.hint.supersedes(test.known); got != test.improves {
+		if got := test.hint.supersedes(test.known); got != test.want {
 			t.Errorf("%s: %+v supersedes %+v: %v", test.name, test.hint, test.known, got)
 		}
 	}
--- a/internal/claim/ledger.go
+++ b/internal/claim/ledger.go
@@ -7,10 +7,11 @@
 type Ledger interface {
 	// Begin claims the call. The caller may send it only if the verdict is Run. Every
 	// error is a *refusal.Error and means that this request is not sent: ClaimStoreDown
-	// if the claim could not be made durable in time, ClaimLedgerFull if the ledger is full,
-	// IdempotencyKeyReused if the key was used with different content, IdempotencyKeyRequired or
-	// BadRequest for a key that cannot be claimed. The outcome of the refusal is not-run
-	// if no earlier request with the key has run either, otherwise unknown.
+	// if the claim could not be made durable in time, ClaimLedgerFull if the ledger is
+	// full, IdempotencyKeyReused if the key was used with different content,
+	// IdempotencyKeyRequired or BadRequest for a key that cannot be claimed. The outcome
+	// of the refusal is not-run if no earlier request with the key has run either,
+	// otherwise unknown.
 	Begin(ctx context.Context, key Key, content Fingerprint) (BeginResult, error)
 	// Lookup is Begin for a call that may not start now: it returns the result for a
 	// repeat of a claimed call and never makes a claim. It returns false if the call is
--- a/internal/claim/node.go
+++ b/internal/claim/node.go
@@ -66,13 +66,13 @@
 
 // Begin implements Ledger.
 func (n *Node) Begin(ctx context.Context, key Key, content Fingerprint) (BeginResult, error) {
-	grant, refused := n.begin(ctx, key, content)
+	result, refused := n.begin(ctx, key, content)
 	if refused != nil {
 		n.metrics.refusals.WithLabelValues(string(refused.Reason)).Inc()
 		return BeginResult{}, refused
 	}
-	n.metrics.verdicts.WithLabelValues(grant.Verdict.String()).Inc()
-	return grant, nil
+	n.metrics.verdicts.WithLabelValues(result.Verdict.String()).Inc()
+	return result, nil
 }
 
 func (n *Node) begin(ctx context.Context, key Key, content Fingerprint) (BeginResult, *refusal.Error) {
@@ -89,11 +89,11 @@
 	if reply.Refused != "" {
 		return BeginResult{}, holderRefusal(reply.Refused, key)
 	}
-	grant := BeginResult{Verdict: reply.Verdict, Answer: reply.Answer}
+	result := BeginResult{Verdict: reply.Verdict, Answer: reply.Answer}
 	if reply.Verdict == Run {
-		grant.Token = Token{Key: key, Attempt: request.Attempt}
+		result.Token = Token{Key: key, Attempt: request.Attempt}
 	}
-	return grant, nil
+	return result, nil
 }
 
 func (n *Node) newRequest(key Key, content Fingerprint) BeginRequest {
--- a/internal/claim/outage_test.go
+++ b/internal/claim/outage_test.go
@@ -13,23 +13,23 @@
 func TestPlatformDown(t *testing.T) {
 	cases := []struct {
 		name string
-		// down is the step at which the outage begins; lapsed means that the leases
+		// down is the step at which the outage begins; expired means that the leases
 		// expire during it.
-		down    step
-		lapsed  bool
-		first   callResult
-		during  []callResult
-		runs    int
-		forever callResult
+		down       step
+		expired    bool
+		first      callResult
+		during     []callResult
+		runs       int
+		afterwards callResult
 	}{
 		{"before the claim", stepBeforeClaim, false, resultUnknown, []callResult{resultNotRun}, 0, resultRan},
 		// A holder that lost its lease cannot know whether its last write took effect,
 		// and cannot process the release, so it returns in progress.
-		{"before the claim, leases lapsed", stepBeforeClaim, true, resultUnknown, []callResult{resultInProgress, resultUnknown}, 0, resultRan},
+		{"before the claim, leases expired", stepBeforeClaim, true, resultUnknown, []callResult{resultInProgress, resultUnknown}, 0, resultRan},
 		{"before the record", stepAfterSend, false, resultRan, []callResult{resultInProgress}, 1, resultRecorded},
-		{"before the record, leases lapsed", stepAfterSend, true, resultRan, []callResult{resultInProgress}, 1, resultRecorded},
+		{"before the record, leases expired", stepAfterSend, true, resultRan, []callResult{resultInProgress}, 1, resultRecorded},
 		{"after the record", stepAfterRecord, false, resultRan, []callResult{resultRecorded}, 1, resultRecorded},
-		{"after the record, leases lapsed", stepAfterRecord, true, resultRan, []callResult{resultRecorded}, 1, resultRecorded},
+		{"after the record, leases expired", stepAfterRecord, true, resultRan, []callResult{resultRecorded}, 1, resultRecorded},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 				startOutageAt := func(at step) {
 					if at == test.down {
 						c.store.setDown(true)
-						if test.lapsed {
+						if test.expired {
 							c.expireLeases(true)
 						}
 					}
@@ -57,7 +57,7 @@
 				expectRuns(t, c, testKey, test.runs)
 				c.store.setDown(false)
 				waitUntilSettled()
-				expectResult(t, "a repeat afterwards", c.call(t, nodes[2], testKey, "body", stepNone), test.forever)
+				expectResult(t, "a repeat afterwards", c.call(t, nodes[2], testKey, "body", stepNone), test.afterwards)
 				expectRuns(t, c, testKey, 1)
 			})
 		})
--- a/internal/claim/unfinished.go
+++ b/internal/claim/unfinished.go
@@ -31,34 +31,34 @@
 	queued []FinishRequest
 }
 
-func newOutcomeQueue(bound int) *outcomeQueue {
-	return &outcomeQueue{limit: bound, added: make(chan struct{}, 1)}
+func newOutcomeQueue(limit int) *outcomeQueue {
+	return &outcomeQueue{limit: limit, added: make(chan struct{}, 1)}
 }
 
 // add returns false if the queue is full.
-func (u *outcomeQueue) add(request FinishRequest) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if len(u.queued) >= u.limit {
+func (q *outcomeQueue) add(request FinishRequest) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.queued) >= q.limit {
 		return false
 	}
-	u.queued = append(u.queued, request)
+	q.queued = append(q.queued, request)
 	return true
 }
 
 // drain removes and returns all queued outcomes.
-func (u *outcomeQueue) drain() []FinishRequest {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	taken := u.queued
-	u.queued = nil
+func (q *outcomeQueue) drain() []FinishRequest {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	taken := q.queued
+	q.queued = nil
 	return taken
 }
 
-func (u *outcomeQueue) len() int {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return len(u.queued)
+func (q *outcomeQueue) len() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.queued)
 }
 
 // Finish implements Ledger.
