--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -163,7 +163,7 @@
 	return passthrough.New(passthrough.Options{
 		Routes: n.routes, Forwarder: forwarder, Codec: n.options.Codec, Clock: n.options.Clock,
 		Random: rand.Float64, Bounds: n.bounds,
-		Nodes: n.shareOf, Log: n.log, Registry: n.registry,
+		NodeCount: n.shareOf, Log: n.log, Registry: n.registry,
 	})
 }
 
@@ -295,7 +295,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			n.conns.Tidy(now)
+			n.conns.CloseExpired(now)
 			n.budget.SetNodes(n.shareOf())
 		}
 	}
--- a/internal/edge/rates.go
+++ b/internal/edge/rates.go
@@ -21,10 +21,10 @@
 	n := r.node
 	exchange := ratelimit.NewExchange(ratelimit.Options{
 		Table: r.limits, Issuer: r.issuer, Self: n.options.Settings.Name,
-		IssuerOf: r.issuerOf, Share: n.sync.HeardShare, Known: n.replicas.HasProcess, Clients: n.clients, Registry: n.registry,
+		IssuerOf: r.issuerOf, Share: n.sync.HeardShare, IsRegistered: n.replicas.HasProcess, Clients: n.clients, Registry: n.registry,
 	})
 	n.peers.Mount(exchange.Handler())
-	r.permits.SetAsk(exchange.Ask)
+	r.permits.SetAcquireFunc(exchange.RequestPermit)
 }
 
 func (r *rates) issuerOf(replica string) (name, address string) {
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -30,7 +30,7 @@
 	grace := n.settings.Load().PassThrough.Grace.Std()
 	began := time.Now()
 	n.leaving.Store(true)
-	n.handler.Stop()
+	n.handler.DisableKeepAlives()
 	n.log.Write(&lifecycle{name: "stopping", fields: eventlog.Fields{"in_flight": n.handler.InFlight()}})
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeoutAtStop)
 	n.sync.Tell(ctx)
@@ -40,9 +40,9 @@
 	for now := range ticker.C {
 		spent := now.Sub(began)
 		if spent > part(grace, lastCallPart) {
-			n.handler.LastCall()
+			n.handler.RefuseStreaming()
 		}
-		idle := n.handler.InFlight() == 0 && n.handler.Quiet(now) > quietFor
+		idle := n.handler.InFlight() == 0 && n.handler.IdleTime(now) > quietFor
 		if spent > part(grace, endPart) || (idle && spent > part(grace, leastPart)) {
 			break
 		}
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -143,7 +143,7 @@
 	for {
 		attempt := n.placer.Choose(at, upstream, &request)
 		if attempt == nil {
-			f.refuse(now, c, overload.Verdict{RetryAfter: limitedRetryAfter})
+			f.refuse(now, c, overload.Decision{RetryAfter: limitedRetryAfter})
 			return
 		}
 		if verdict := n.admit(at, c, c.deadline-now, &attempt.Choice); verdict.Refused() && !f.scenario.Ungated {
@@ -180,7 +180,7 @@
 }
 
 // refuse has the caller come back once, if there is time.
-func (f *fleet) refuse(now time.Duration, c *call, v overload.Verdict) {
+func (f *fleet) refuse(now time.Duration, c *call, v overload.Decision) {
 	left := c.deadline - now
 	if c.returned || float64(v.RetryAfter) > returnShare*float64(left) {
 		c.settle(refused)
--- a/internal/fleetsim/limits.go
+++ b/internal/fleetsim/limits.go
@@ -18,11 +18,11 @@
 			continue
 		}
 		for _, i := range f.random.Perm(len(f.engines))[:l.Engines] {
-			named := ratelimit.Answer{
-				Replica: replica.Replica{ID: f.engines[i].id}, Limited: true, PerSecond: l.PerSecond, At: boottime.Instant(now + 1),
+			named := ratelimit.Observation{
+				Replica: replica.Replica{ID: f.engines[i].id}, Limited: true, PerSecond: l.PerSecond, ReceivedAt: boottime.Instant(now + 1),
 			}
 			for _, n := range f.nodes {
-				n.limits.Answered(named)
+				n.limits.Observe(named)
 			}
 		}
 	}
@@ -36,10 +36,10 @@
 	if !a.NeedsPermit {
 		return true
 	}
-	n.permits.SetAsk(func(_ context.Context, l ratelimit.Limit) (ratelimit.Grant, error) {
+	n.permits.SetAcquireFunc(func(_ context.Context, l ratelimit.Limit) (ratelimit.Grant, error) {
 		return f.issuer.Issue(at, l, 1), nil
 	})
-	if asked := n.permits.Acquire(context.Background(), at, &a.Replica); !asked.Given() {
+	if asked := n.permits.Acquire(context.Background(), at, &a.Replica); !asked.Granted() {
 		return false
 	}
 	a.PermitGranted(at)
@@ -47,9 +47,9 @@
 }
 
 // admit is the node's decision whether the call may begin.
-func (n *node) admit(at time.Time, c *call, left time.Duration, choice *placement.Choice) overload.Verdict {
+func (n *node) admit(at time.Time, c *call, left time.Duration, choice *placement.Choice) overload.Decision {
 	return n.gates.Of(upstream).Decide(at, overload.Request{
-		Rank: c.class.Rank, Objective: c.class.Objective, Left: left,
-		Ahead: choice.FirstTokenTime - choice.OwnPrefill, Own: choice.OwnPrefill, MemoryUsed: choice.MemoryFraction,
+		Rank: c.class.Rank, Objective: c.class.Objective, TimeLeft: left,
+		QueueTime: choice.FirstTokenTime - choice.OwnPrefill, OwnPrefill: choice.OwnPrefill, MemoryUsed: choice.MemoryFraction,
 	})
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -75,10 +75,10 @@
 }
 
 // admit applies overload control to the call at the chosen replica.
-func (e *exchange) admit(c *placement.Choice) overload.Verdict {
+func (e *exchange) admit(c *placement.Choice) overload.Decision {
 	return e.forwarder.gates.Of(e.call.Upstream).Decide(time.Now(), overload.Request{
-		Rank: e.call.Rank, Objective: e.call.Route.Objective, Left: time.Until(e.call.Deadline),
-		Ahead: c.FirstTokenTime - c.OwnPrefill, Own: c.OwnPrefill, MemoryUsed: c.MemoryFraction,
+		Rank: e.call.Rank, Objective: e.call.Route.Objective, TimeLeft: time.Until(e.call.Deadline),
+		QueueTime: c.FirstTokenTime - c.OwnPrefill, OwnPrefill: c.OwnPrefill, MemoryUsed: c.MemoryFraction,
 	})
 }
 
@@ -96,7 +96,7 @@
 	return e.overloadFailure(place, verdict)
 }
 
-func (e *exchange) overloadFailure(place *placement.Attempt, v overload.Verdict) *Failure {
+func (e *exchange) overloadFailure(place *placement.Attempt, v overload.Decision) *Failure {
 	c := &place.Choice
 	e.forwarder.metrics.overloadRefusals.WithLabelValues(e.call.Upstream, string(v.Reason)).Inc()
 	return &Failure{
@@ -132,7 +132,7 @@
 // reusable is false if the idle timer may still close it.
 func (a *attempt) release(f *Failure, reusable bool) {
 	if a.stopContextClose() && reusable && f == nil && !a.gotForeignResponse {
-		a.conn.Keep(a.response)
+		a.conn.Release(a.response)
 		return
 	}
 	a.conn.Close()
@@ -209,13 +209,13 @@
 		// A different process answered at this address.
 		return
 	}
-	limit, changed := f.options.RateLimits.Answered(ratelimit.Answer{
+	limit, changed := f.options.RateLimits.Observe(ratelimit.Observation{
 		Replica: a.place.Replica, Limited: a.headers.RateLimited, PerSecond: a.headers.RateLimit,
 		Succeeded: a.headers.Stamped && a.response.StatusCode < http.StatusMultipleChoices,
-		SentAt:    a.sentAt, At: f.options.RateLimits.Now(),
+		SentAt:    a.sentAt, ReceivedAt: f.options.RateLimits.Now(),
 	})
 	if changed {
-		f.options.Log.Write(&ratelimit.Changed{Limit: limit, Request: a.exchange.call.ID})
+		f.options.Log.Write(&ratelimit.LimitChanged{Limit: limit, Request: a.exchange.call.ID})
 	}
 }
 
@@ -230,8 +230,8 @@
 func (a *attempt) failedAt(step string, cause error) *Failure {
 	f := &Failure{
 		Result:         placement.Interrupted,
-		ReachedReplica: a.conn.Sent(),
-		NotRun:         !a.conn.Sent(),
+		ReachedReplica: a.conn.SentAny(),
+		NotRun:         !a.conn.SentAny(),
 		Step:           step,
 		Peer:           a.place.Replica.Address,
 		Cause:          cause,
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -145,7 +145,7 @@
 type permitAsked struct {
 	exchange *exchange
 	replica  string
-	asked    ratelimit.Asked
+	asked    ratelimit.AcquireResult
 }
 
 func (*permitAsked) Name() string { return "permit_asked" }
@@ -162,7 +162,7 @@
 	fields := eventlog.Fields{
 		"request": ev.exchange.call.ID, "upstream": ev.exchange.call.Upstream, "attempt": ev.exchange.attempts, "replica": ev.replica,
 		"issuer": a.Grant.Issuer, "rate_limit": a.Limit.PerSecond, "age_ms": a.Age.Milliseconds(),
-		"given": a.Given(), "retry_after_ms": a.Grant.RetryAfter.Milliseconds(),
+		"given": a.Granted(), "retry_after_ms": a.Grant.RetryAfter.Milliseconds(),
 	}
 	if a.Err != nil {
 		fields["error"] = a.Err.Error()
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -44,7 +44,7 @@
 	defer cancel()
 	asked := e.forwarder.options.Permits.Acquire(ctx, time.Now(), &place.Replica)
 	e.forwarder.options.Log.Write(&permitAsked{exchange: e, replica: place.Replica.ID, asked: asked})
-	if !asked.Given() {
+	if !asked.Granted() {
 		return false
 	}
 	place.PermitGranted(time.Now())
@@ -55,7 +55,7 @@
 	f := &Failure{Result: placement.Cancelled, NotRun: true, Step: stepChoose, Peer: e.call.Upstream, Cause: errNoReplica}
 	now := time.Now()
 	if limited := e.forwarder.options.Placer.RateLimited(now, e.call.Upstream); limited.Replicas > 0 {
-		f.RetryAfter = overload.ReturnAfter(limited.NextPermitAt.Sub(now), e.call.Deadline.Sub(now))
+		f.RetryAfter = overload.RetryDelay(limited.NextPermitAt.Sub(now), e.call.Deadline.Sub(now))
 		f.Cause = fmt.Errorf("%w: %d rate-limited replicas, no permit left", errRateLimited, limited.Replicas)
 	}
 	return f
--- a/internal/forward/place_test.go
+++ b/internal/forward/place_test.go
@@ -31,7 +31,7 @@
 
 func (a *fakeIssuer) ask(_ context.Context, l ratelimit.Limit) (ratelimit.Grant, error) {
 	a.permitRequests++
-	return ratelimit.Grant{Given: a.given, RetryAfter: 800 * time.Millisecond}, a.err
+	return ratelimit.Grant{Granted: a.given, RetryAfter: 800 * time.Millisecond}, a.err
 }
 
 func TestRateLimitedReplicaNeedsPermit(t *testing.T) {
@@ -47,7 +47,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				list := replicas(answerWithRate)
 				f := forwardtest.NewFleet(t, list...)
-				f.Permits.SetAsk(test.issuer.ask)
+				f.Permits.SetAcquireFunc(test.issuer.ask)
 				serve(t, f, call(route.AtMostOnce, 1))
 				for range 3 {
 					w, ending := serve(t, f, call(route.AtMostOnce, 1))
@@ -75,7 +75,7 @@
 		list := replicas(answerWithRate, answerOK)
 		f := forwardtest.NewFleet(t, list...)
 		var issuer fakeIssuer
-		f.Permits.SetAsk(issuer.ask)
+		f.Permits.SetAcquireFunc(issuer.ask)
 		for range 20 {
 			if _, ending := serve(t, f, call(route.AtMostOnce, 1)); ending != forward.EndedComplete {
 				t.Fatalf("ending %s", ending)
@@ -96,7 +96,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		list := replicas(answerWithRate, answerWithRate, answerWithRate, answerOK)
 		f := forwardtest.NewFleet(t, list...)
-		f.Permits.SetAsk(func(ctx context.Context, _ ratelimit.Limit) (ratelimit.Grant, error) {
+		f.Permits.SetAcquireFunc(func(ctx context.Context, _ ratelimit.Limit) (ratelimit.Grant, error) {
 			<-ctx.Done()
 			return ratelimit.Grant{}, ctx.Err()
 		})
--- a/internal/nodesync/ratelimits.go
+++ b/internal/nodesync/ratelimits.go
@@ -16,8 +16,8 @@
 	limits := slices.DeleteFunc(ratelimit.FromProto(told, began), func(l ratelimit.Limit) bool {
 		return !s.options.Replicas.HasProcess(l.Replica, l.StartedAt)
 	})
-	for _, news := range s.options.Limits.Take(limits) {
-		s.options.Log.Write(&ratelimit.Changed{Limit: news, From: from, Age: s.options.Clock().Sub(news.At)})
+	for _, news := range s.options.Limits.Merge(limits) {
+		s.options.Log.Write(&ratelimit.LimitChanged{Limit: news, From: from, Age: s.options.Clock().Sub(news.ObservedAt)})
 	}
 }
 
--- a/internal/nodesync/ratelimits_test.go
+++ b/internal/nodesync/ratelimits_test.go
@@ -11,8 +11,8 @@
 
 // names has the node get an answer of the replica that names a rate, or none any more.
 func (n *testNode) names(id string, limited bool) {
-	n.options.Limits.Answered(ratelimit.Answer{
-		Replica: replica.Replica{ID: id}, Limited: limited, PerSecond: 2, Succeeded: true, SentAt: n.now, At: n.now + 1,
+	n.options.Limits.Observe(ratelimit.Observation{
+		Replica: replica.Replica{ID: id}, Limited: limited, PerSecond: 2, Succeeded: true, SentAt: n.now, ReceivedAt: n.now + 1,
 	})
 }
 
--- a/internal/nodesync/sync.go
+++ b/internal/nodesync/sync.go
@@ -156,7 +156,7 @@
 		WithoutLoads:     terms.without,
 		AddsUp:           terms.addsUp,
 		Crashes:          recentCrashes(s.options.Tracker.Records(time.Now()), time.Now()),
-		RateLimits:       ratelimit.ToProto(s.options.Limits.Told(), now),
+		RateLimits:       ratelimit.ToProto(s.options.Limits.ForPeers(), now),
 	}
 	if s.wholeListing.Swap(false) {
 		request.ReplicasRevision, request.ReplicasDigest = 0, 0
@@ -207,7 +207,7 @@
 		ReplicasReadAge:  now.Sub(readAt).Microseconds(),
 		ReplicasDigest:   listing.Digest,
 		Crashes:          recentCrashes(s.options.Tracker.Records(time.Now()), time.Now()),
-		RateLimits:       ratelimit.ToProto(s.options.Limits.Told(), now),
+		RateLimits:       ratelimit.ToProto(s.options.Limits.ForPeers(), now),
 	}
 	for _, n := range s.told(m.GetSelf().GetAvailabilityZone(), now) {
 		answer.Nodes = append(answer.Nodes, nodeToProto(n, now))
--- a/internal/overload/gate.go
+++ b/internal/overload/gate.go
@@ -43,7 +43,7 @@
 }
 
 // Decide says whether the request is let in.
-func (g *Gate) Decide(now time.Time, r Request) Verdict {
+func (g *Gate) Decide(now time.Time, r Request) Decision {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	reason := r.reason()
@@ -53,14 +53,14 @@
 		reason = MoreUrgentRefused
 	}
 	if reason == "" {
-		return Verdict{}
+		return Decision{}
 	}
-	return Verdict{Reason: reason, RetryAfter: ReturnAfter(r.Ahead, r.Left)}
+	return Decision{Reason: reason, RetryAfter: RetryDelay(r.QueueTime, r.TimeLeft)}
 }
 
-// ReturnAfter is when a refused caller should come back: when what is ahead of it is over, as
+// RetryDelay is when a refused caller should come back: when what is ahead of it is over, as
 // far as the time left to it allows; zero or less left: not known.
-func ReturnAfter(ahead, left time.Duration) time.Duration {
+func RetryDelay(ahead, left time.Duration) time.Duration {
 	after := max(ahead, leastReturn)
 	if left > 0 {
 		after = min(after, time.Duration(returnShare*float64(left)))
@@ -73,8 +73,8 @@
 	switch {
 	case r.MemoryUsed > fullFrom:
 		return MemoryFull
-	case r.Objective > 0 && r.Ahead > r.allowed():
-		return Late
+	case r.Objective > 0 && r.QueueTime > r.allowed():
+		return TooLate
 	default:
 		return ""
 	}
@@ -83,11 +83,11 @@
 // allowed is the longest time that the request may wait for its turn.
 func (r *Request) allowed() time.Duration {
 	whole := time.Duration(lateFactor * float64(r.Objective))
-	if r.Left > 0 {
-		whole = min(whole, time.Duration(queueShare*float64(r.Left)))
+	if r.TimeLeft > 0 {
+		whole = min(whole, time.Duration(queueShare*float64(r.TimeLeft)))
 	}
 	least := time.Duration(leastAllowed * float64(r.Objective))
-	return max(whole-r.Own, least)
+	return max(whole-r.OwnPrefill, least)
 }
 
 // closed says whether requests of the rank are refused for a more urgent one.
--- a/internal/overload/gate_test.go
+++ b/internal/overload/gate_test.go
@@ -14,12 +14,12 @@
 		request Request
 		want    Reason
 	}{
-		"nothing ahead":                     {Request{Objective: second, Own: second / 10}, ""},
-		"a long prompt on an idle replica":  {Request{Objective: second, Own: 20 * second}, ""},
-		"a short wait":                      {Request{Objective: second, Ahead: second / 5, Own: second / 10}, ""},
-		"a wait beyond the objective":       {Request{Objective: second, Ahead: 2 * second, Own: second / 10}, Late},
-		"a long prompt behind a long queue": {Request{Objective: second, Ahead: second, Own: 20 * second}, Late},
-		"no objective":                      {Request{Ahead: time.Hour}, ""},
+		"nothing ahead":                     {Request{Objective: second, OwnPrefill: second / 10}, ""},
+		"a long prompt on an idle replica":  {Request{Objective: second, OwnPrefill: 20 * second}, ""},
+		"a short wait":                      {Request{Objective: second, QueueTime: second / 5, OwnPrefill: second / 10}, ""},
+		"a wait beyond the objective":       {Request{Objective: second, QueueTime: 2 * second, OwnPrefill: second / 10}, TooLate},
+		"a long prompt behind a long queue": {Request{Objective: second, QueueTime: second, OwnPrefill: 20 * second}, TooLate},
+		"no objective":                      {Request{QueueTime: time.Hour}, ""},
 		"memory that is nearly full":        {Request{Objective: second, MemoryUsed: 0.9}, MemoryFull},
 		"memory that is half full":          {Request{Objective: second, MemoryUsed: 0.5}, ""},
 	} {
@@ -38,15 +38,15 @@
 // The load at which a class of a short objective was refused while a less urgent
 // one of a long objective was let in, and filled the queue further.
 func TestNoLessUrgentRequestIsLetInWhileAMoreUrgentOneIsRefused(t *testing.T) {
-	letter := Request{Rank: 1, Objective: 800 * time.Millisecond, Ahead: 1500 * time.Millisecond, Own: 50 * time.Millisecond}
-	history := Request{Rank: 2, Objective: 2500 * time.Millisecond, Ahead: 600 * time.Millisecond, Own: 300 * time.Millisecond}
-	question := Request{Rank: 0, Objective: 500 * time.Millisecond, Ahead: 50 * time.Millisecond}
+	letter := Request{Rank: 1, Objective: 800 * time.Millisecond, QueueTime: 1500 * time.Millisecond, OwnPrefill: 50 * time.Millisecond}
+	history := Request{Rank: 2, Objective: 2500 * time.Millisecond, QueueTime: 600 * time.Millisecond, OwnPrefill: 300 * time.Millisecond}
+	question := Request{Rank: 0, Objective: 500 * time.Millisecond, QueueTime: 50 * time.Millisecond}
 
 	g := new(Gate)
 	if v := g.Decide(start, history); v.Refused() {
 		t.Fatalf("refused for %q before any other was", v.Reason)
 	}
-	if v := g.Decide(start, letter); v.Reason != Late {
+	if v := g.Decide(start, letter); v.Reason != TooLate {
 		t.Fatalf("a letter that waits twice its objective: %q", v.Reason)
 	}
 	soon := start.Add(100 * time.Millisecond)
@@ -65,7 +65,7 @@
 // and one that is refused for another must not keep the others out for ever.
 func TestARefusalOfALessUrgentRankChangesNothingForTheRanksBetween(t *testing.T) {
 	late := func(rank int) Request {
-		return Request{Rank: rank, Objective: second, Ahead: 3 * second}
+		return Request{Rank: rank, Objective: second, QueueTime: 3 * second}
 	}
 	fine := func(rank int) Request { return Request{Rank: rank, Objective: second} }
 	g := new(Gate)
@@ -84,7 +84,7 @@
 
 func TestEachUpstreamHasAGateOfItsOwn(t *testing.T) {
 	var gates Gates
-	gates.Of("a").Decide(start, Request{Rank: 0, Objective: second, Ahead: 3 * second})
+	gates.Of("a").Decide(start, Request{Rank: 0, Objective: second, QueueTime: 3 * second})
 	if v := gates.Of("b").Decide(start, Request{Rank: 1, Objective: second}); v.Refused() {
 		t.Errorf("refused for what happened at another upstream: %q", v.Reason)
 	}
@@ -95,7 +95,7 @@
 
 func TestNobodyIsToldToComeBackBeforeNow(t *testing.T) {
 	for _, left := range []time.Duration{-second, 0, second, time.Minute} {
-		if after := ReturnAfter(-second, left); after <= 0 {
+		if after := RetryDelay(-second, left); after <= 0 {
 			t.Errorf("with %s left: return after %s", left, after)
 		}
 	}
--- a/internal/overload/request.go
+++ b/internal/overload/request.go
@@ -9,13 +9,13 @@
 	// Objective is the time within which the first token is on time; zero: none is
 	// set, and the request is never too late.
 	Objective time.Duration
-	// Left is the time until the caller gives up or the route's timeout; zero: not
+	// TimeLeft is the time until the caller gives up or the route's timeout; zero: not
 	// known.
-	Left time.Duration
-	// Ahead is the expected time until the best replica begins to read the prompt,
+	TimeLeft time.Duration
+	// QueueTime is the expected time until the best replica begins to read the prompt,
 	// and Own that for reading it.
-	Ahead time.Duration
-	Own   time.Duration
+	QueueTime  time.Duration
+	OwnPrefill time.Duration
 	// MemoryUsed is the part of that replica's memory that its requests take with
 	// this one.
 	MemoryUsed float64
--- a/internal/overload/verdict.go
+++ b/internal/overload/verdict.go
@@ -7,16 +7,16 @@
 
 // The reasons; the empty one admits.
 const (
-	// Late requests would get their first token too late.
-	Late Reason = "late"
+	// TooLate requests would get their first token too late.
+	TooLate Reason = "late"
 	// MemoryFull requests find no replica with memory for them.
 	MemoryFull Reason = "memory_full"
 	// MoreUrgentRefused requests came while more urgent ones were turned away.
 	MoreUrgentRefused Reason = "more_urgent_refused"
 )
 
-// Verdict says what becomes of a request.
-type Verdict struct {
+// Decision says what becomes of a request.
+type Decision struct {
 	// Reason is empty for a request that is let in.
 	Reason Reason
 	// RetryAfter is when the caller of a refused request should come back.
@@ -24,4 +24,4 @@
 }
 
 // Refused says whether the request is turned away.
-func (v Verdict) Refused() bool { return v.Reason != "" }
+func (v Decision) Refused() bool { return v.Reason != "" }
--- a/internal/passthrough/check.go
+++ b/internal/passthrough/check.go
@@ -110,7 +110,7 @@
 	}
 	if u.MaxConnections > 0 {
 		// This node's share of what one replica accepts of all nodes.
-		c.MaxConnections = max(u.MaxConnections/max(h.options.Nodes(), 1), 1)
+		c.MaxConnections = max(u.MaxConnections/max(h.options.NodeCount(), 1), 1)
 	}
 }
 
--- a/internal/passthrough/handler.go
+++ b/internal/passthrough/handler.go
@@ -72,14 +72,14 @@
 // InFlight is the number of requests being served.
 func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
 
-// Quiet is how long ago the last request came.
-func (h *Handler) Quiet(now time.Time) time.Duration {
+// IdleTime is how long ago the last request came.
+func (h *Handler) IdleTime(now time.Time) time.Duration {
 	return now.Sub(time.Unix(0, h.lastAt.Load()))
 }
 
-// Stop announces on each answer that its connection ends with it.
-func (h *Handler) Stop() { h.stopping.Store(true) }
+// DisableKeepAlives announces on each answer that its connection ends with it.
+func (h *Handler) DisableKeepAlives() { h.stopping.Store(true) }
 
-// LastCall refuses from now on the requests whose answers might not end before
+// RefuseStreaming refuses from now on the requests whose answers might not end before
 // the process does.
-func (h *Handler) LastCall() { h.lastCall.Store(true) }
+func (h *Handler) RefuseStreaming() { h.lastCall.Store(true) }
--- a/internal/passthrough/handler_test.go
+++ b/internal/passthrough/handler_test.go
@@ -51,8 +51,8 @@
 	r.Handler = New(Options{
 		Routes: r.routes, Forwarder: fleet.Forwarder, Codec: forwardtest.Codec{},
 		Clock: func() boottime.Instant { return r.now }, Random: func() float64 { return 0 },
-		Bounds: func() Bounds { return Bounds{RevokeAfter: 5 * time.Second, ApplyWithin: 2 * time.Second} },
-		Nodes:  func() int { return 1 }, Log: eventlog.New(io.Discard, "t"), Registry: prometheus.NewRegistry(),
+		Bounds:    func() Bounds { return Bounds{RevokeAfter: 5 * time.Second, ApplyWithin: 2 * time.Second} },
+		NodeCount: func() int { return 1 }, Log: eventlog.New(io.Discard, "t"), Registry: prometheus.NewRegistry(),
 	})
 	return r
 }
@@ -160,11 +160,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
 		r.know(0)
-		r.Stop()
+		r.DisableKeepAlives()
 		if w := r.ask("/open/x", "", ""); w.Code != 200 || w.Header().Get("Connection") != "close" {
 			t.Errorf("status %d, Connection %q", w.Code, w.Header().Get("Connection"))
 		}
-		r.LastCall()
+		r.RefuseStreaming()
 		if w := r.ask("/stream/x", "", ""); w.Code != 503 || w.Header().Get("Retry-After") == "" || w.Header().Get("Connection") != "close" {
 			t.Errorf("a long answer was begun: status %d, header %v", w.Code, w.Header())
 		}
--- a/internal/passthrough/options.go
+++ b/internal/passthrough/options.go
@@ -21,11 +21,11 @@
 	Random func() float64
 	// Bounds returns the bounds in force.
 	Bounds func() Bounds
-	// Nodes is the largest number of nodes, which share the connections that a
+	// NodeCount is the largest number of nodes, which share the connections that a
 	// replica accepts.
-	Nodes    func() int
-	Log      *eventlog.Log
-	Registry prometheus.Registerer
+	NodeCount func() int
+	Log       *eventlog.Log
+	Registry  prometheus.Registerer
 }
 
 // Bounds are the times within which a change of the configuration takes effect.
--- a/internal/placement/ratelimits.go
+++ b/internal/placement/ratelimits.go
@@ -23,12 +23,14 @@
 }
 
 // isLimited reports whether the replica is rate limited.
-func (l *rateLimits) isLimited(s *replicaState) bool { return ratelimit.Limited(l.limits, &s.replica) }
+func (l *rateLimits) isLimited(s *replicaState) bool {
+	return ratelimit.IsLimited(l.limits, &s.replica)
+}
 
 // allows reports whether the replica may be chosen: it is not rate limited, or a permit may be
 // requested now.
 func (l *rateLimits) allows(s *replicaState) bool {
-	return !l.isLimited(s) || !l.excludeLimited && !l.permits.Next(s.replica.ID).After(l.now)
+	return !l.isLimited(s) || !l.excludeLimited && !l.permits.NextAttemptAt(s.replica.ID).After(l.now)
 }
 
 // RateLimited describes the rate limited replicas of an upstream.
@@ -51,7 +53,7 @@
 		if !limits.isLimited(s) {
 			continue
 		}
-		next := u.permits.Next(s.replica.ID)
+		next := u.permits.NextAttemptAt(s.replica.ID)
 		if found.Replicas == 0 || next.Before(found.NextPermitAt) {
 			found.NextPermitAt = next
 		}
--- a/internal/placement/ratelimits_test.go
+++ b/internal/placement/ratelimits_test.go
@@ -16,12 +16,12 @@
 	p, set := fleet(n, 1)
 	table := ratelimit.NewTable(func() boottime.Instant { return 2 })
 	permits := ratelimit.NewPermits(table)
-	permits.SetAsk(func(context.Context, ratelimit.Limit) (ratelimit.Grant, error) {
+	permits.SetAcquireFunc(func(context.Context, ratelimit.Limit) (ratelimit.Grant, error) {
 		return ratelimit.Grant{RetryAfter: time.Minute}, nil
 	})
 	p.SetPermits(permits)
 	for _, r := range set.ForUpstream("u")[:limited] {
-		table.Answered(ratelimit.Answer{Replica: r, Limited: true, PerSecond: 1, At: 1})
+		table.Observe(ratelimit.Observation{Replica: r, Limited: true, PerSecond: 1, ReceivedAt: 1})
 	}
 	return p, permits
 }
@@ -35,7 +35,7 @@
 		if a == nil || !a.NeedsPermit {
 			return a
 		}
-		if grant := permits.Acquire(t.Context(), time.Now(), &a.Replica); grant.Given() {
+		if grant := permits.Acquire(t.Context(), time.Now(), &a.Replica); grant.Granted() {
 			t.Fatal("a permit was given")
 		}
 		a.End(time.Now(), Cancelled)
@@ -49,7 +49,7 @@
 		if a == nil {
 			t.Fatal("no replica chosen, although two are not rate limited")
 		}
-		if ratelimit.Limited(permits.Limits(), &a.Replica) {
+		if ratelimit.IsLimited(permits.Limits(), &a.Replica) {
 			t.Fatalf("rate limited replica %s was chosen without a permit", a.Replica.ID)
 		}
 	}
@@ -89,7 +89,7 @@
 	request := short()
 	request.ExcludeRateLimited = true
 	for range 10 {
-		if a := p.Choose(start, "u", request); a == nil || a.NeedsPermit || ratelimit.Limited(permits.Limits(), &a.Replica) {
+		if a := p.Choose(start, "u", request); a == nil || a.NeedsPermit || ratelimit.IsLimited(permits.Limits(), &a.Replica) {
 			t.Fatalf("chosen: %+v", a)
 		}
 	}
--- a/internal/ratelimit/answer.go
+++ b/internal/ratelimit/answer.go
@@ -5,8 +5,8 @@
 	"galenatrestle/internal/replica"
 )
 
-// Answer is what one answer of a replica says of its rate.
-type Answer struct {
+// Observation is what one answer of a replica says of its rate.
+type Observation struct {
 	Replica replica.Replica
 	// Limited says that the answer names a rate, PerSecond.
 	Limited   bool
@@ -14,6 +14,6 @@
 	// Succeeded answers are the replica's own to a request that it ran well. One without a
 	// rate lifts an earlier limit; a failure without one says nothing.
 	Succeeded bool
-	// SentAt is when the request was sent, At when the head of its answer came.
-	SentAt, At boottime.Instant
+	// SentAt is when the request was sent, ReceivedAt when the head of its answer came.
+	SentAt, ReceivedAt boottime.Instant
 }
--- a/internal/ratelimit/events.go
+++ b/internal/ratelimit/events.go
@@ -6,8 +6,8 @@
 	"galenatrestle/internal/eventlog"
 )
 
-// Changed tells that a replica named another rate than before, or none any more.
-type Changed struct {
+// LimitChanged tells that a replica named another rate than before, or none any more.
+type LimitChanged struct {
 	Limit Limit
 	// Request is the request whose answer said so, where it was this node's; From is the
 	// node that told it, where it was another one.
@@ -18,13 +18,13 @@
 }
 
 // Name implements eventlog.Event.
-func (*Changed) Name() string { return "rate_limit_changed" }
+func (*LimitChanged) Name() string { return "rate_limit_changed" }
 
 // Level implements eventlog.Event.
-func (*Changed) Level() eventlog.Level { return eventlog.Notable }
+func (*LimitChanged) Level() eventlog.Level { return eventlog.Notable }
 
 // Fields implements eventlog.Event.
-func (e *Changed) Fields() eventlog.Fields {
+func (e *LimitChanged) Fields() eventlog.Fields {
 	fields := eventlog.Fields{"replica": e.Limit.Replica, "lifted": e.Limit.Lifted, "age_ms": e.Age.Milliseconds()}
 	if !e.Limit.Lifted {
 		fields["per_second"] = e.Limit.PerSecond
--- a/internal/ratelimit/exchange.go
+++ b/internal/ratelimit/exchange.go
@@ -28,10 +28,10 @@
 	// Share is the part of the rates that this node may issue: less than all where some
 	// of the nodes can't be heard, which may have an issuer of their own.
 	Share func() float64
-	// Known says whether the process of the replica is registered.
-	Known    func(replica string, startedAt int64) bool
-	Clients  *peer.Clients
-	Registry prometheus.Registerer
+	// IsRegistered says whether the process of the replica is registered.
+	IsRegistered func(replica string, startedAt int64) bool
+	Clients      *peer.Clients
+	Registry     prometheus.Registerer
 }
 
 // Exchange asks other nodes for permits, and answers them. It is safe for concurrent use.
@@ -54,8 +54,8 @@
 	return ratelimitv1connect.NewRateLimitServiceHandler(e)
 }
 
-// Ask asks the replica's issuer for a permit under the limit.
-func (e *Exchange) Ask(ctx context.Context, l Limit) (Grant, error) {
+// RequestPermit asks the replica's issuer for a permit under the limit.
+func (e *Exchange) RequestPermit(ctx context.Context, l Limit) (Grant, error) {
 	name, address := e.options.IssuerOf(l.Replica)
 	var grant Grant
 	var err error
@@ -73,7 +73,7 @@
 	switch {
 	case err != nil:
 		return "unanswered"
-	case grant.Given:
+	case grant.Granted:
 		return "given"
 	default:
 		return "refused"
@@ -89,7 +89,7 @@
 	if err != nil {
 		return Grant{}, err
 	}
-	return Grant{Given: response.Msg.GetGiven(), RetryAfter: microseconds(response.Msg.GetRetryAfter())}, nil
+	return Grant{Granted: response.Msg.GetGiven(), RetryAfter: microseconds(response.Msg.GetRetryAfter())}, nil
 }
 
 // Acquire implements ratelimitv1connect.RateLimitServiceHandler.
@@ -98,10 +98,10 @@
 	grant := Grant{RetryAfter: unansweredPause}
 	// Two nodes that both issue would give twice the rate: one that does not take itself
 	// for the issuer gives nothing until both agree.
-	if name, _ := e.options.IssuerOf(told.Replica); name == e.options.Self && e.options.Known(told.Replica, told.StartedAt) {
+	if name, _ := e.options.IssuerOf(told.Replica); name == e.options.Self && e.options.IsRegistered(told.Replica, told.StartedAt) {
 		grant = e.issue(told)
 	}
-	return connect.NewResponse(&ratelimitv1.AcquireResponse{Given: grant.Given, RetryAfter: grant.RetryAfter.Microseconds()}), nil
+	return connect.NewResponse(&ratelimitv1.AcquireResponse{Given: grant.Granted, RetryAfter: grant.RetryAfter.Microseconds()}), nil
 }
 
 // issue gives a permit by the newest limit that this node and the asking one know.
--- a/internal/ratelimit/exchange_test.go
+++ b/internal/ratelimit/exchange_test.go
@@ -15,14 +15,14 @@
 	return NewExchange(Options{
 		Table: table, Issuer: NewIssuer(), Self: "vm-1",
 		IssuerOf: func(string) (string, string) { return issuer, "" },
-		Share:    func() float64 { return 1 }, Known: func(string, int64) bool { return known },
+		Share:    func() float64 { return 1 }, IsRegistered: func(string, int64) bool { return known },
 		Registry: prometheus.NewRegistry(),
 	})
 }
 
 // limitAt is a high rate, named so long after the start.
 func limitAt(ms int, lifted bool) Limit {
-	return Limit{Replica: "i-1", PerSecond: 1e6, Lifted: lifted, At: at(ms)}
+	return Limit{Replica: "i-1", PerSecond: 1e6, Lifted: lifted, ObservedAt: at(ms)}
 }
 
 // acquire asks twice, since a new issuer has nothing to give at first.
@@ -55,7 +55,7 @@
 		t.Error("permits of a replica that is not registered")
 	}
 	lifted := table()
-	lifted.Take([]Limit{limitAt(60, true)})
+	lifted.Merge([]Limit{limitAt(60, true)})
 	if acquire(t, exchange("vm-1", lifted, true), limitAt(50, false)) {
 		t.Error("permits under a limit that was lifted since")
 	}
@@ -65,11 +65,11 @@
 	e := exchange("vm-1", NewTable(func() boottime.Instant { return at(100) }), true)
 	given := false
 	for range 2 {
-		grant, err := e.Ask(t.Context(), limitAt(50, false))
+		grant, err := e.RequestPermit(t.Context(), limitAt(50, false))
 		if err != nil {
 			t.Fatal(err)
 		}
-		given = given || grant.Given
+		given = given || grant.Granted
 	}
 	if !given {
 		t.Error("no permit")
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -107,10 +107,10 @@
 	switch {
 	case !answered:
 		f.pausedTill[node] = now + askTimeout + unansweredPause
-	case !grant.Given:
+	case !grant.Granted:
 		f.pausedTill[node] = now + max(grant.RetryAfter, leastPause)
 	}
-	return grant.Given
+	return grant.Granted
 }
 
 // ask is the answer of the node's issuer to an ask that arrives at the time; none comes from
@@ -270,7 +270,7 @@
 		{replica.Replica{ID: "i-1", StartedAt: 9}, false},
 		{replica.Replica{ID: "i-2", StartedAt: 7}, false},
 	} {
-		if got := Limited(limits, &test.r); got != test.want {
+		if got := IsLimited(limits, &test.r); got != test.want {
 			t.Errorf("%+v: limited %v", test.r, got)
 		}
 	}
--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -28,7 +28,7 @@
 
 // Grant is the answer to an ask for a permit.
 type Grant struct {
-	Given bool
+	Granted bool
 	// Issuer is the name of the node that answered.
 	Issuer string
 	// RetryAfter is when the next permit may be there, where none is given.
@@ -42,7 +42,7 @@
 	defer i.mu.Unlock()
 	b := i.bucket(now, l.Replica, max(l.PerSecond*share, leastRate))
 	if b.AllowN(now, 1) {
-		return Grant{Given: true}
+		return Grant{Granted: true}
 	}
 	missing := 1 - b.TokensAt(now)
 	return Grant{RetryAfter: time.Duration(missing / float64(b.Limit()) * float64(time.Second))}
--- a/internal/ratelimit/issuer_test.go
+++ b/internal/ratelimit/issuer_test.go
@@ -9,7 +9,7 @@
 func issued(i *Issuer, l Limit, share float64, from time.Time, length time.Duration) int {
 	given := 0
 	for at := time.Duration(0); at < length; at += 10 * time.Millisecond {
-		if i.Issue(from.Add(at), l, share).Given {
+		if i.Issue(from.Add(at), l, share).Granted {
 			given++
 		}
 	}
@@ -37,10 +37,10 @@
 func TestANewIssuerHasNothingToGive(t *testing.T) {
 	i := NewIssuer()
 	g := i.Issue(epoch, Limit{Replica: "i-1", PerSecond: 2}, 1)
-	if g.Given || g.RetryAfter != 500*time.Millisecond {
+	if g.Granted || g.RetryAfter != 500*time.Millisecond {
 		t.Errorf("%+v", g)
 	}
-	if g := i.Issue(epoch.Add(g.RetryAfter), Limit{Replica: "i-1", PerSecond: 2}, 1); !g.Given {
+	if g := i.Issue(epoch.Add(g.RetryAfter), Limit{Replica: "i-1", PerSecond: 2}, 1); !g.Granted {
 		t.Errorf("%+v when the next permit was to be there", g)
 	}
 }
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -11,6 +11,6 @@
 	PerSecond float64
 	// Lifted says that it names no rate any more.
 	Lifted bool
-	// At is when the answer came that said so.
-	At boottime.Instant
+	// ObservedAt is when the answer came that said so.
+	ObservedAt boottime.Instant
 }
--- a/internal/ratelimit/proto.go
+++ b/internal/ratelimit/proto.go
@@ -28,14 +28,14 @@
 
 func limitToProto(l Limit, now boottime.Instant) *ratelimitv1.Limit {
 	return &ratelimitv1.Limit{
-		Replica: l.Replica, StartedAt: l.StartedAt, PerSecond: l.PerSecond, Lifted: l.Lifted, Age: now.Sub(l.At).Microseconds(),
+		Replica: l.Replica, StartedAt: l.StartedAt, PerSecond: l.PerSecond, Lifted: l.Lifted, Age: now.Sub(l.ObservedAt).Microseconds(),
 	}
 }
 
 func limitFromProto(l *ratelimitv1.Limit, began boottime.Instant) Limit {
 	return Limit{
 		Replica: l.GetReplica(), StartedAt: l.GetStartedAt(), PerSecond: l.GetPerSecond(), Lifted: l.GetLifted(),
-		At: began.Add(-microseconds(l.GetAge())),
+		ObservedAt: began.Add(-microseconds(l.GetAge())),
 	}
 }
 
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -37,22 +37,22 @@
 	return *limits
 }
 
-// Answered takes in what an answer says. It reports the limit that is in force or lifted by
+// Observe takes in what an answer says. It reports the limit that is in force or lifted by
 // it, where that is news.
-func (t *Table) Answered(a Answer) (Limit, bool) {
+func (t *Table) Observe(a Observation) (Limit, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := Limit{Replica: a.Replica.ID, StartedAt: a.Replica.StartedAt, PerSecond: a.PerSecond, Lifted: !a.Limited, At: a.At}
+	l := Limit{Replica: a.Replica.ID, StartedAt: a.Replica.StartedAt, PerSecond: a.PerSecond, Lifted: !a.Limited, ObservedAt: a.ReceivedAt}
 	old, known := t.known[l.Replica]
-	if l.Lifted && !(known && !old.Lifted && a.Succeeded && a.SentAt > old.At) {
+	if l.Lifted && !(known && !old.Lifted && a.Succeeded && a.SentAt > old.ObservedAt) {
 		// An answer that was on its way when the limit was named says nothing of it.
 		return Limit{}, false
 	}
 	return l, t.take(l)
 }
 
-// Take takes in the limits that another node told, and returns those that are news.
-func (t *Table) Take(limits []Limit) []Limit {
+// Merge takes in the limits that another node told, and returns those that are news.
+func (t *Table) Merge(limits []Limit) []Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var news []Limit
@@ -68,20 +68,20 @@
 func (t *Table) Newest(l Limit) Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known, ok := t.known[l.Replica]; ok && known.At >= l.At {
+	if known, ok := t.known[l.Replica]; ok && known.ObservedAt >= l.ObservedAt {
 		return known
 	}
 	return l
 }
 
-// Told is the limits that other nodes are told: those in force, and those lifted lately.
-func (t *Table) Told() []Limit {
+// ForPeers is the limits that other nodes are told: those in force, and those lifted lately.
+func (t *Table) ForPeers() []Limit {
 	now := t.clock()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var told []Limit
 	for _, l := range t.known {
-		if (!l.Lifted || now.Sub(l.At) < liftedNews) && len(told) < maxTold {
+		if (!l.Lifted || now.Sub(l.ObservedAt) < liftedNews) && len(told) < maxTold {
 			told = append(told, l)
 		}
 	}
@@ -99,7 +99,7 @@
 // changes anything but its age. The lock is held.
 func (t *Table) take(l Limit) bool {
 	old, known := t.known[l.Replica]
-	if known && l.At <= old.At {
+	if known && l.ObservedAt <= old.ObservedAt {
 		return false
 	}
 	t.known[l.Replica] = l
--- a/internal/replicaconn/conn.go
+++ b/internal/replicaconn/conn.go
@@ -36,9 +36,9 @@
 	closed  sync.Once
 }
 
-// Sent says whether a byte of the current request was handed to the socket:
+// SentAny says whether a byte of the current request was handed to the socket:
 // from then on the replica may run it.
-func (c *Conn) Sent() bool { return c.sent.Load() > 0 }
+func (c *Conn) SentAny() bool { return c.sent.Load() > 0 }
 
 // Send writes the request, a long one beside the reading of its answer.
 func (c *Conn) Send(r *Request) error {
@@ -89,8 +89,8 @@
 // Buffered says whether bytes wait that belong to no answer read so far.
 func (c *Conn) Buffered() bool { return c.reader.Buffered() > 0 }
 
-// Written says whether the whole request was handed to the socket.
-func (c *Conn) Written() bool { return c.written.Load() }
+// SentAll says whether the whole request was handed to the socket.
+func (c *Conn) SentAll() bool { return c.written.Load() }
 
 // Close ends the connection. It may be called from any goroutine, and more
 // than once.
@@ -101,10 +101,10 @@
 	})
 }
 
-// Keep gives the connection back for another request, if the last answer was
+// Release gives the connection back for another request, if the last answer was
 // read whole and allows it; else it is closed.
-func (c *Conn) Keep(response *http.Response) {
-	if response.Close || !c.Written() || c.Buffered() {
+func (c *Conn) Release(response *http.Response) {
+	if response.Close || !c.SentAll() || c.Buffered() {
 		c.Close()
 		return
 	}
--- a/internal/replicaconn/pool.go
+++ b/internal/replicaconn/pool.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// Tidy closes the connections that have been idle for too long.
-func (p *Pool) Tidy(now time.Time) {
+// CloseExpired closes the connections that have been idle for too long.
+func (p *Pool) CloseExpired(now time.Time) {
 	for _, c := range p.stale(now) {
 		c.Close()
 	}
--- a/internal/replicaconn/pool_test.go
+++ b/internal/replicaconn/pool_test.go
@@ -76,11 +76,11 @@
 				t.Fatal(err)
 			}
 			_, _ = io.ReadAll(response.Body)
-			c.Keep(response)
+			c.Release(response)
 			if again := open(t, p, address); again != c {
 				t.Fatal("a quiet connection was not used again")
 			}
-			c.Keep(response)
+			c.Release(response)
 			disturb(far)
 			// What was written is in this process's own buffers at once, but for
 			// the scheduling of the loopback device.
