--- a/internal/claim/begin.go
+++ b/internal/claim/begin.go
@@ -48,7 +48,6 @@
 	return state, Decision{Verdict: Unknown}
 }
 
-// newClaim creates the claim unless new claims are refused.
 func (c BeginCommand) newClaim(state *claimv1.Record) (*claimv1.Record, Decision) {
 	if c.RefuseNew != "" {
 		return state, Decision{Refused: c.RefuseNew}
--- a/internal/claim/claimrpc/claimrpc_test.go
+++ b/internal/claim/claimrpc/claimrpc_test.go
@@ -37,7 +37,6 @@
 	return h.finish, h.err
 }
 
-// serve starts a server on loopback and returns its address.
 func serve(t *testing.T, h *holder) string {
 	t.Helper()
 	mux := http.NewServeMux()
--- a/internal/claim/expire.go
+++ b/internal/claim/expire.go
@@ -35,7 +35,6 @@
 	return state
 }
 
-// withoutBody returns the state without the body and headers of its answer.
 func withoutBody(state *claimv1.Record) *claimv1.Record {
 	if state.GetAnswer().GetBodyDropped() {
 		return state
--- a/internal/claim/fakecall_test.go
+++ b/internal/claim/fakecall_test.go
@@ -97,7 +97,6 @@
 	return resultNotRun
 }
 
-// runCall sends a claimed call and records its outcome.
 func (c *cluster) runCall(t testing.TB, node *testNode, grant BeginResult, body string, killed func(step) bool) callResult {
 	outcome := OutcomeRecorded
 	if c.nextOutcome != nil {
--- a/internal/claim/fakecluster_test.go
+++ b/internal/claim/fakecluster_test.go
@@ -122,8 +122,7 @@
 	// cutBefore and cutAfter, if set, return true to break a forwarded call before or
 	// after it is served.
 	cutBefore, cutAfter func() bool
-	// oneWay is the latency of a message between nodes.
-	oneWay time.Duration
+	oneWay              time.Duration
 	// nextOutcome, if set, returns the outcome of the next call that runs.
 	nextOutcome func() OutcomeKind
 	// regions, if set, maps each node to its region; preferredIn is then the owner per
@@ -134,11 +133,10 @@
 
 type testNode struct {
 	*Node
-	name string
-	stop context.CancelFunc
-	done chan struct{}
-	dead bool
-	// terms are all terms granted to the node.
+	name  string
+	stop  context.CancelFunc
+	done  chan struct{}
+	dead  bool
 	terms []*fakeTerm
 }
 
--- a/internal/claim/forward.go
+++ b/internal/claim/forward.go
@@ -35,7 +35,6 @@
 	return reply, nil
 }
 
-// tryFinish sends the outcome to the shard's holder once.
 func (n *Node) tryFinish(ctx context.Context, request FinishRequest) error {
 	localShard, manager := n.shardOf(request.Key)
 	err := localShard.finish(ctx, request)
--- a/internal/claim/hold.go
+++ b/internal/claim/hold.go
@@ -54,7 +54,6 @@
 	return nil
 }
 
-// writeLoop writes pending changes until termCtx or ctx ends.
 func (s *shard) writeLoop(ctx, termCtx context.Context) error {
 	for {
 		select {
--- a/internal/claim/lease_test.go
+++ b/internal/claim/lease_test.go
@@ -50,7 +50,6 @@
 	return d.Store.Release(ctx, held)
 }
 
-// realLeases adapts lease.Source to Leases.
 type realLeases struct{ source *lease.Source }
 
 func (l realLeases) Acquire(ctx context.Context, name string) (Term, error) {
--- a/internal/claim/model_test.go
+++ b/internal/claim/model_test.go
@@ -31,7 +31,6 @@
 
 func attemptOf(i int) uuid.UUID { return uuid.UUID{byte(i + 1)} }
 
-// explore visits all states reachable from s, depth first.
 func (m *model) explore(s *modelState) {
 	stack := []*modelState{s}
 	for len(stack) > 0 && len(m.failures) == 0 {
@@ -46,7 +45,6 @@
 	}
 }
 
-// steps returns the states after each possible next step.
 func (m *model) steps(s *modelState) []*modelState {
 	var next []*modelState
 	addIf := func(possible bool, step func(*modelState)) {
@@ -125,7 +123,6 @@
 	s.nodes[n].sending = &next
 }
 
-// deliverAnswer performs the write and delivers its result to the holder.
 func (m *model) deliverAnswer(s *modelState, n int) {
 	node := &s.nodes[n]
 	outcome, revision := node.sending.classify(s.swap(*node.sending))
--- a/internal/claim/modelrequest_test.go
+++ b/internal/claim/modelrequest_test.go
@@ -57,7 +57,6 @@
 	return r != nil && r.epoch == request.term && (r.durableChange >= request.change || s.early)
 }
 
-// deliverDecision delivers the verdict to the request.
 func (m *model) deliverDecision(s *modelState, i int) {
 	request := &s.requests[i]
 	request.state = requestOver
@@ -83,7 +82,6 @@
 	}
 }
 
-// abandon abandons the attempt and returns the result to the caller.
 func (m *model) abandon(s *modelState, i int, result callResult) {
 	s.requests[i].state = requestAbandoned
 	s.requests[i].callerResult = result
--- a/internal/claim/modelstate_test.go
+++ b/internal/claim/modelstate_test.go
@@ -232,7 +232,6 @@
 	return uuid.UUID(sum.Sum(nil)[:16])
 }
 
-// swap is the platform's compare-and-swap.
 func (m *modelState) swap(w write) (platform.Entry, error) {
 	current := m.entries[w.key]
 	if current.Revision != w.expect && !m.unconditional {
--- a/internal/claim/outage_test.go
+++ b/internal/claim/outage_test.go
@@ -9,7 +9,6 @@
 	"galenatrestle/internal/refusal"
 )
 
-// TestPlatformDown starts a platform outage at each step of a call.
 func TestPlatformDown(t *testing.T) {
 	cases := []struct {
 		name string
--- a/internal/claim/random_test.go
+++ b/internal/claim/random_test.go
@@ -12,7 +12,6 @@
 const (
 	randomCallers = 40
 	randomKeys    = 2_500
-	// randomRepeats is the number of requests per key.
 	randomRepeats = 4
 )
 
@@ -28,7 +27,6 @@
 	return d.random.IntN(n)
 }
 
-// oneIn returns true with probability 1/n.
 func (d *lockedRand) oneIn(n int) bool { return d.intN(n) == 0 }
 
 // faultInjector injects random faults one after another until stop is closed.
@@ -145,7 +143,6 @@
 	}
 }
 
-// makeCalls makes all calls from concurrent callers and returns the results by key.
 func makeCalls(t *testing.T, x *faultInjector) map[Key][]callResult {
 	var mu sync.Mutex
 	results := make(map[Key][]callResult)
@@ -175,7 +172,6 @@
 	return results
 }
 
-// checkResults compares the callers' results with the calls that ran.
 func (c *cluster) checkResults(t *testing.T, results map[Key][]callResult) {
 	t.Helper()
 	calls, twice := 0, 0
--- a/internal/claim/recover.go
+++ b/internal/claim/recover.go
@@ -17,7 +17,6 @@
 
 func shardPrefix(number int) string { return fmt.Sprintf("claims/%04d/", number) }
 
-// storedSegment is a segment read from the platform.
 type storedSegment struct {
 	position int
 	revision int64
--- a/internal/claim/regions_test.go
+++ b/internal/claim/regions_test.go
@@ -37,7 +37,6 @@
 	return claim.FinishReply{}, errNoRoute
 }
 
-// regionLeases adapts lease.Source to claim.Leases.
 type regionLeases struct{ *lease.Source }
 
 func (l regionLeases) Acquire(ctx context.Context, name string) (claim.Term, error) {
@@ -129,7 +128,6 @@
 	})
 }
 
-// run runs the node and returns a channel that is closed when it has stopped.
 func run(ctx context.Context, node *claim.Node) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
--- a/internal/claim/ring.go
+++ b/internal/claim/ring.go
@@ -33,7 +33,6 @@
 	short   bool
 }
 
-// size returns the encoded size of the state in a segment.
 func (h indexEntry) size() int {
 	if h.encoded == nil {
 		return 0
@@ -84,8 +83,7 @@
 	tail   int64
 	sealed bool
 	// body contains the tail's encoded records.
-	body []byte
-	// bytes is the total size of the states in the index.
+	body  []byte
 	bytes int
 	// compact requests that the next write seal its segment, so that the ring advances
 	// and drops expired claims.
@@ -142,7 +140,6 @@
 	return current.change
 }
 
-// put stores the state and queues it for the next write.
 func (r *ring) put(id digest, state *claimv1.Record) (int64, error) {
 	encoded, err := proto.Marshal(state)
 	if err != nil {
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -34,10 +34,8 @@
 	stuck bool
 	// progress is closed and replaced whenever a waiter must check the shard again: a
 	// change became durable, a write failed, or the shard was gained or lost.
-	progress chan struct{}
-	// warned reports that the fill is above fillWarning.
-	warned bool
-	// lastCompaction is when a compaction was last requested.
+	progress       chan struct{}
+	warned         bool
 	lastCompaction time.Time
 }
 
@@ -178,7 +176,6 @@
 	return ""
 }
 
-// compactInterval is the minimum time between two compactions of a shard.
 const compactInterval = time.Second
 
 // waitDurable returns nil once the change is durable, otherwise errUncertain. For a
--- a/internal/claim/shardholder.go
+++ b/internal/claim/shardholder.go
@@ -17,8 +17,7 @@
 	name            string
 	acquireRequests chan struct{}
 
-	mu sync.Mutex
-	// hint is the newest known hint about the holder.
+	mu   sync.Mutex
 	hint Hint
 }
 
--- a/internal/claim/unfinished.go
+++ b/internal/claim/unfinished.go
@@ -46,7 +46,6 @@
 	return true
 }
 
-// drain removes and returns all queued outcomes.
 func (q *outcomeQueue) drain() []FinishRequest {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -86,7 +85,6 @@
 	}
 }
 
-// queueOutcome queues the outcome for the next round of background recording.
 func (n *Node) queueOutcome(request FinishRequest) {
 	result := finishBackground
 	if !n.outcomes.add(request) {
--- a/internal/claim/write.go
+++ b/internal/claim/write.go
@@ -25,13 +25,11 @@
 	expect int64
 	value  []byte
 
-	sequence int64
-	sealed   bool
-	body     []byte
-	digests  []digest
-	// opensSegment reports that the write starts a new segment.
+	sequence     int64
+	sealed       bool
+	body         []byte
+	digests      []digest
 	opensSegment bool
-	// newestChange is the number of the newest change in the write.
 	newestChange int64
 }
 
