--- a/internal/capacity/leaving.go
+++ b/internal/capacity/leaving.go
@@ -21,7 +21,7 @@
 		memory.add(n, heapOf(func() *leaving.Tracker {
 			t := leaving.NewTracker(published, prometheus.NewRegistry())
 			for i := range n {
-				t.EngineLeaving(fmt.Sprintf("model-%d-%d", i%8, i/8))
+				t.RecordEngineLeaving(fmt.Sprintf("model-%d-%d", i%8, i/8))
 			}
 			return t
 		}))
--- a/internal/credit/exchange.go
+++ b/internal/credit/exchange.go
@@ -57,7 +57,7 @@
 type Exchange struct {
 	options Options
 	metrics *metrics
-	asks    *rounds.Asks[[]Ask, []Grant]
+	asks    *rounds.OwnerClient[[]Ask, []Grant]
 
 	ownerMu sync.Mutex
 	owner   *Owner
@@ -80,11 +80,11 @@
 		wallet:  NewWallet(options.Node, options.Settings, options.Rand),
 		allowed: make(map[allowKey]int),
 	}
-	e.asks = &rounds.Asks[[]Ask, []Grant]{
-		Self: options.Node,
-		Own:  func(asks []Ask) []Grant { return e.handle(options.Node, asks) },
-		Call: e.call,
-		Take: e.take,
+	e.asks = &rounds.OwnerClient[[]Ask, []Grant]{
+		Self:           options.Node,
+		HandleLocal:    func(asks []Ask) []Grant { return e.handle(options.Node, asks) },
+		Call:           e.call,
+		HandleResponse: e.take,
 	}
 	return e
 }
@@ -114,8 +114,8 @@
 // Run exchanges credits until ctx ends, and returns after the last call has.
 func (e *Exchange) Run(ctx context.Context) {
 	defer e.asks.Wait()
-	rounds.Rounds{
-		First: planInterval, Interval: planInterval, SweepEvery: sweepInterval,
+	rounds.Loop{
+		InitialDelay: planInterval, Interval: planInterval, SweepInterval: sweepInterval,
 		Step: e.step, Sweep: e.sweep,
 	}.Run(ctx)
 }
@@ -142,7 +142,7 @@
 // plan returns what is due, less what goes to owners that have not answered
 // yet.
 func (e *Exchange) plan(needs []Need) map[string][]Ask {
-	busy := e.asks.Busy()
+	busy := e.asks.InFlight()
 	e.walletMu.Lock()
 	defer e.walletMu.Unlock()
 	due := e.wallet.Plan(time.Now(), needs)
--- a/internal/edge/announcer.go
+++ b/internal/edge/announcer.go
@@ -159,7 +159,7 @@
 		return err
 	}
 	for _, n := range nodes {
-		a.nodes.Suggest(n, a.clock())
+		a.nodes.AddCandidate(n, a.clock())
 	}
 	return nil
 }
--- a/internal/edge/announcer_test.go
+++ b/internal/edge/announcer_test.go
@@ -34,7 +34,7 @@
 		}
 		a.metrics = newMetrics(prometheus.NewRegistry(), routesource.New(nil), replica.NewSet(), clock, a.log)
 		for i := range others {
-			nodes.Take(nodesync.Node{Name: fmt.Sprintf("vm-%d", i), HeardAt: clock().Add(span)})
+			nodes.Merge(nodesync.Node{Name: fmt.Sprintf("vm-%d", i), LastSeen: clock().Add(span)})
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), span)
 		defer cancel()
@@ -56,9 +56,9 @@
 	}{
 		{"a member of a large fleet", nodesync.Member, false, 294, false, 2},
 		{"a member that is a seed", nodesync.Member, true, 294, true, 5},
-		{"a hub", nodesync.Hub, false, 294, true, 12},
-		{"a node of a small fleet", nodesync.Equal, false, 6, true, 12},
-		{"a node that meets nobody", nodesync.Equal, false, 0, true, 130},
+		{"a hub", nodesync.PrimaryHub, false, 294, true, 12},
+		{"a node of a small fleet", nodesync.Peer, false, 6, true, 12},
+		{"a node that meets nobody", nodesync.Peer, false, 0, true, 130},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -75,7 +75,7 @@
 
 // TestANodeThatMeetsNobodyIsAnnouncedSoon: its seeds may be gone for long.
 func TestANodeThatMeetsNobodyIsAnnouncedSoon(t *testing.T) {
-	store, _ := runAnnouncer(t, nodesync.Equal, false, 0, settleFor+time.Second)
+	store, _ := runAnnouncer(t, nodesync.Peer, false, 0, settleFor+time.Second)
 	if len(store.nodes) != 1 {
 		t.Error("a node that knows nobody is not announced")
 	}
--- a/internal/edge/backoff.go
+++ b/internal/edge/backoff.go
@@ -20,10 +20,10 @@
 // the failed ones too: 25 a node in outages of 13 s of a fleet of 86, before members
 // left it to their hub to notice the store's return.
 var backoffs = map[nodesync.Role]backoff{
-	nodesync.Equal:      startBackoff,
-	nodesync.Hub:        startBackoff,
-	nodesync.FurtherHub: {first: 600 * time.Millisecond, longest: 2400 * time.Millisecond},
-	nodesync.Member:     {first: 2 * time.Second, longest: 5 * time.Second},
+	nodesync.Peer:         startBackoff,
+	nodesync.PrimaryHub:   startBackoff,
+	nodesync.SecondaryHub: {first: 600 * time.Millisecond, longest: 2400 * time.Millisecond},
+	nodesync.Member:       {first: 2 * time.Second, longest: 5 * time.Second},
 }
 
 // next is the pause after one more failed read; last is zero after the first.
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -135,12 +135,12 @@
 func (d *duties) contends() bool {
 	n := d.node
 	now := n.options.Clock()
-	if n.leaving.Load() || n.routes.Get().Table == nil || n.nodes.DutiesHeld(now) {
+	if n.leaving.Load() || n.routes.Get().Table == nil || n.nodes.HasDutyHolder(now) {
 		return false
 	}
 	switch n.sync.Role() {
-	case nodesync.Equal, nodesync.Hub:
-		if n.sync.Turn() < firstContenders {
+	case nodesync.Peer, nodesync.PrimaryHub:
+		if n.sync.StoreReaderIndex() < firstContenders {
 			return true
 		}
 	}
@@ -155,7 +155,7 @@
 	s := d.node.options.Settings.PassThrough
 	counts := s.RevokeAfter.Std() + s.Duties.UsageWindow.Std() + gatherSlack
 	var addresses []string
-	for _, node := range d.node.nodes.HeardWithin(counts, d.node.options.Clock()) {
+	for _, node := range d.node.nodes.SeenWithin(counts, d.node.options.Clock()) {
 		addresses = append(addresses, node.PeerAddress)
 	}
 	return addresses
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -93,7 +93,7 @@
 	isSeed := slices.Contains(s.Peers.Seeds, s.Advertise.Peer) || slices.Contains(s.Peers.Seeds, s.PeerListen)
 	n.reader = &reader{
 		store: options.Store, routes: n.routes, replicas: n.replicas, listed: n.listed,
-		role: n.sync.Role, turn: n.sync.Turn, clock: options.Clock, log: n.log,
+		role: n.sync.Role, turn: n.sync.StoreReaderIndex, clock: options.Clock, log: n.log,
 		firstReadAt: n.firstReadAt(isSeed),
 		applyWithin: func() time.Duration { return n.settings.Load().PassThrough.ApplyWithin.Std() },
 		leaveWithin: func() time.Duration { return n.settings.Load().PassThrough.LeaveWithin.Std() },
@@ -130,9 +130,9 @@
 // records.
 func (n *Node) newSync(tracker *quarantine.Tracker) *nodesync.Sync {
 	return nodesync.New(nodesync.Options{
-		Self: n.self, Nodes: n.nodes, Routes: n.routes, Replicas: n.replicas, Listed: n.listed,
-		Placer: n.placer, Tracker: tracker, Limits: n.rates.limits, IdleTicks: n.idleTicks, SumsFor: nodesync.DefaultSumsFor, Clock: n.options.Clock,
-		Time: n.duties.clock(), Rand: rand.New(rand.NewPCG(n.options.Seed, 3)), Log: n.log,
+		Self: n.self, Nodes: n.nodes, Routes: n.routes, Replicas: n.replicas, OnReplicaChanges: n.listed,
+		Placer: n.placer, Tracker: tracker, RateLimits: n.rates.limits, IdleRoundInterval: n.idleTicks, SumsMaxAge: nodesync.DefaultSumsMaxAge, Clock: n.options.Clock,
+		FleetTime: n.duties.clock(), Rand: rand.New(rand.NewPCG(n.options.Seed, 3)), Log: n.log,
 	})
 }
 
@@ -209,7 +209,7 @@
 
 // shareOf is the number of nodes by which shared bounds are divided.
 func (n *Node) shareOf() int {
-	known := n.nodes.Count(n.options.Clock())
+	known := n.nodes.KnownCount(n.options.Clock())
 	return max(known+known/sparePart, leastNodes)
 }
 
--- a/internal/edge/questions.go
+++ b/internal/edge/questions.go
@@ -62,7 +62,7 @@
 		serving = append(serving, n.self())
 	}
 	if len(serving) > maxAddresses {
-		serving = n.sync.Entries(zone)
+		serving = n.sync.EntryNodes(zone)
 	}
 	if len(serving) == 0 {
 		serving = n.alive(now)
--- a/internal/edge/questions_test.go
+++ b/internal/edge/questions_test.go
@@ -19,15 +19,15 @@
 	now := n.options.Clock()
 	for i := range 300 {
 		zone := fmt.Sprintf("hall-%c", 'a'+i%5)
-		n.nodes.Take(nodesync.Node{
+		n.nodes.Merge(nodesync.Node{
 			Name: fmt.Sprintf("far-%d", i), AvailabilityZone: zone, EntryAddress: zone + fmt.Sprintf(".%d:1", i),
-			PeerAddress: fmt.Sprintf("127.0.0.1:%d", 1+i), Ready: true, HeardAt: now.Add(nodeTestAhead),
+			PeerAddress: fmt.Sprintf("127.0.0.1:%d", 1+i), Ready: true, LastSeen: now.Add(nodeTestAhead),
 		})
 	}
 	for _, zone := range []string{"hall-b", "hall-e"} {
 		told := n.entryAddresses(zone)
-		if len(told) != nodesync.EntriesPerZone {
-			t.Errorf("%s: %d addresses, want %d", zone, len(told), nodesync.EntriesPerZone)
+		if len(told) != nodesync.EntryNodesPerZone {
+			t.Errorf("%s: %d addresses, want %d", zone, len(told), nodesync.EntryNodesPerZone)
 		}
 		for _, address := range told {
 			if !strings.HasPrefix(address, zone) {
@@ -35,7 +35,7 @@
 			}
 		}
 	}
-	if told := n.entryAddresses(""); len(told) != nodesync.EntriesPerZone {
+	if told := n.entryAddresses(""); len(told) != nodesync.EntryNodesPerZone {
 		t.Errorf("a caller that tells no zone gets %d addresses", len(told))
 	}
 }
--- a/internal/edge/rates.go
+++ b/internal/edge/rates.go
@@ -21,14 +21,14 @@
 	n := r.node
 	exchange := ratelimit.NewExchange(ratelimit.Options{
 		Table: r.limits, Issuer: r.issuer, Self: n.options.Settings.Name,
-		IssuerOf: r.issuerOf, Share: n.sync.HeardShare, Known: n.replicas.HasProcess, Clients: n.clients, Registry: n.registry,
+		IssuerOf: r.issuerOf, Share: n.sync.SeenFraction, Known: n.replicas.HasProcess, Clients: n.clients, Registry: n.registry,
 	})
 	n.peers.Mount(exchange.Handler())
 	r.permits.SetAsk(exchange.Ask)
 }
 
 func (r *rates) issuerOf(replica string) (name, address string) {
-	issuer := r.node.sync.IssuerOf(replica)
+	issuer := r.node.sync.PermitIssuer(replica)
 	return issuer.Name, issuer.PeerAddress
 }
 
--- a/internal/edge/reader.go
+++ b/internal/edge/reader.go
@@ -39,14 +39,14 @@
 // read's time and a round between nodes, each is within the two seconds in which a
 // leaving replica or a new configuration must be known.
 var readAt = map[nodesync.Role]time.Duration{
-	nodesync.Equal: 800 * time.Millisecond,
+	nodesync.Peer: 800 * time.Millisecond,
 	// A hub reads for its availability zone, whose nodes ask it several times a
 	// second, and read themselves only where it has failed.
-	nodesync.Hub: 500 * time.Millisecond,
+	nodesync.PrimaryHub: 500 * time.Millisecond,
 	// The further hubs of a large zone are asked as often, but learn of the first
 	// one's reads within two rounds.
-	nodesync.FurtherHub: 800 * time.Millisecond,
-	nodesync.Member:     1300 * time.Millisecond,
+	nodesync.SecondaryHub: 800 * time.Millisecond,
+	nodesync.Member:       1300 * time.Millisecond,
 }
 
 const (
@@ -140,7 +140,7 @@
 	role := r.role()
 	due := time.Duration(float64(readAt[role]) * slack(bound))
 	switch role {
-	case nodesync.Equal, nodesync.Hub:
+	case nodesync.Peer, nodesync.PrimaryHub:
 		step := turnStep * time.Duration(min(r.turn(), mostSteps))
 		return due + step + time.Duration(spread*float64(turnJitter))
 	default:
--- a/internal/edge/reader_test.go
+++ b/internal/edge/reader_test.go
@@ -66,7 +66,7 @@
 
 func TestAWaitForAReadEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &reader{role: func() nodesync.Role { return nodesync.Equal }, turn: func() int { return 0 }}
+		r := &reader{role: func() nodesync.Role { return nodesync.Peer }, turn: func() int { return 0 }}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if r.awaitAge(ctx, rand.New(rand.NewPCG(1, 1)), aged(func() time.Duration { return 0 })) {
@@ -87,9 +87,9 @@
 		most  int
 	}{
 		{"a member", nodesync.Member, true, 2, 5},
-		{"a further hub", nodesync.FurtherHub, true, 4, 9},
-		{"a hub", nodesync.Hub, true, 8, 16},
-		{"a node of a small fleet", nodesync.Equal, true, 8, 16},
+		{"a further hub", nodesync.SecondaryHub, true, 4, 9},
+		{"a hub", nodesync.PrimaryHub, true, 8, 16},
+		{"a node of a small fleet", nodesync.Peer, true, 8, 16},
 		{"a member that knows nothing yet", nodesync.Member, false, 8, 16},
 	}
 	for _, test := range cases {
@@ -150,7 +150,7 @@
 func TestAFirstStartWithoutSeedsIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		r := &reader{role: func() nodesync.Role { return nodesync.Equal }, turn: func() int { return 0 }}
+		r := &reader{role: func() nodesync.Role { return nodesync.Peer }, turn: func() int { return 0 }}
 		r.clock = func() boottime.Instant { return boottime.Instant(time.Since(began)) + 1 }
 		r.firstReadAt = r.clock().Add(firstReadWait)
 		r.awaitAge(t.Context(), rand.New(rand.NewPCG(1, 1)), aged(func() time.Duration { return time.Hour }))
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -33,7 +33,7 @@
 	n.handler.Stop()
 	n.log.Write(&lifecycle{name: "stopping", fields: eventlog.Fields{"in_flight": n.handler.InFlight()}})
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeoutAtStop)
-	n.sync.Tell(ctx)
+	n.sync.Announce(ctx)
 	cancel()
 	ticker := time.NewTicker(stopLook)
 	defer ticker.Stop()
--- a/internal/leaving/set.go
+++ b/internal/leaving/set.go
@@ -6,10 +6,10 @@
 
 // Bounds of the state.
 const (
-	// MaxVotes bounds the votes held by one Set.
-	MaxVotes = 4096
-	// VoteTime is how long a vote lasts that is not renewed.
-	VoteTime = 10 * time.Minute
+	// MaxSignals bounds the votes held by one Set.
+	MaxSignals = 4096
+	// SignalTTL is how long a vote lasts that is not renewed.
+	SignalTTL = 10 * time.Minute
 )
 
 // voteKey is what a vote is about.
@@ -18,8 +18,8 @@
 	source Source
 }
 
-// Vote is what one source says of one name.
-type Vote struct {
+// Signal is what one source says of one name.
+type Signal struct {
 	Name    string
 	Source  Source
 	Leaving bool
@@ -33,7 +33,7 @@
 
 // Set holds the votes. It is pure and not safe for concurrent use.
 type Set struct {
-	votes map[voteKey]Vote
+	votes map[voteKey]Signal
 	// listed holds the names that this node itself saw leaving in the
 	// platform's list.
 	listed map[string]bool
@@ -41,7 +41,7 @@
 
 // NewSet returns a set in which nobody is leaving.
 func NewSet() *Set {
-	return &Set{votes: make(map[voteKey]Vote), listed: make(map[string]bool)}
+	return &Set{votes: make(map[voteKey]Signal), listed: make(map[string]bool)}
 }
 
 // Leaving reports whether any source says that the name is leaving.
@@ -54,25 +54,25 @@
 	return false
 }
 
-// Engine takes in a replica's own word: leaving from a refusal or a report,
+// RecordEngine takes in a replica's own word: leaving from a refusal or a report,
 // or serving from a report. Reports lag: one that was measured before the word
 // it would take back changes nothing. It returns the vote to spread, if there
 // is news.
-func (s *Set) Engine(now, measured time.Time, name string, leaving bool) (Vote, bool) {
+func (s *Set) RecordEngine(now, measured time.Time, name string, leaving bool) (Signal, bool) {
 	key := voteKey{name, SourceEngine}
 	if leaving {
 		return s.renew(now, key, true)
 	}
 	if !s.says(now, key) || measured.UnixMilli() <= s.votes[key].Version {
-		return Vote{}, false
+		return Signal{}, false
 	}
 	return s.renew(now, key, false)
 }
 
-// Instance takes in what this node's copy of the platform's list says. The
+// RecordInstance takes in what this node's copy of the platform's list says. The
 // list lags by different times at different nodes: it takes a vote back only
 // where this same node saw it say leaving before.
-func (s *Set) Instance(now time.Time, name string, leaving bool) (Vote, bool) {
+func (s *Set) RecordInstance(now time.Time, name string, leaving bool) (Signal, bool) {
 	seen := s.listed[name]
 	switch {
 	case leaving:
@@ -80,33 +80,33 @@
 	case seen:
 		delete(s.listed, name)
 	default:
-		return Vote{}, false
+		return Signal{}, false
 	}
 	return s.renew(now, voteKey{name, SourceInstances}, leaving)
 }
 
-// Forget drops a name that the platform's list no longer holds.
-func (s *Set) Forget(name string) { delete(s.listed, name) }
+// ForgetInstance drops a name that the platform's list no longer holds.
+func (s *Set) ForgetInstance(name string) { delete(s.listed, name) }
 
-// Operator takes in what the configuration of a revision says. An older
+// RecordOperator takes in what the configuration of a revision says. An older
 // revision than the vote's own changes nothing.
-func (s *Set) Operator(now time.Time, name string, leaving bool, revision int64) (Vote, bool) {
+func (s *Set) RecordOperator(now time.Time, name string, leaving bool, revision int64) (Signal, bool) {
 	key := voteKey{name, SourceOperator}
 	old, ok := s.votes[key]
 	if !ok && !leaving {
-		return Vote{}, false
+		return Signal{}, false
 	}
 	if ok && old.Version >= revision && old.Leaving == leaving {
-		old.Expires = now.Add(VoteTime)
+		old.Expires = now.Add(SignalTTL)
 		s.votes[key] = old
-		return Vote{}, false
+		return Signal{}, false
 	}
-	vote := Vote{Name: name, Source: SourceOperator, Leaving: leaving, Version: revision, Expires: now.Add(VoteTime)}
+	vote := Signal{Name: name, Source: SourceOperator, Leaving: leaving, Version: revision, Expires: now.Add(SignalTTL)}
 	return vote, s.Merge(now, vote)
 }
 
 // Merge takes in a vote of a peer and reports whether it was news.
-func (s *Set) Merge(now time.Time, vote Vote) bool {
+func (s *Set) Merge(now time.Time, vote Signal) bool {
 	key := voteKey{vote.Name, vote.Source}
 	old, ok := s.votes[key]
 	if ok && old.Version >= vote.Version || !now.Before(vote.Expires) {
@@ -115,13 +115,13 @@
 	if !ok && !s.room(now) {
 		return false
 	}
-	vote.Expires = earlier(vote.Expires, now.Add(VoteTime))
+	vote.Expires = earlier(vote.Expires, now.Add(SignalTTL))
 	s.votes[key] = vote
 	return true
 }
 
-// Names returns the number of names that are leaving.
-func (s *Set) Names(now time.Time) int {
+// LeavingCount returns the number of names that are leaving.
+func (s *Set) LeavingCount(now time.Time) int {
 	names := make(map[string]bool)
 	for key := range s.votes {
 		if s.says(now, key) {
@@ -139,16 +139,16 @@
 // renew sets a vote whose version is the time. A vote that says the same is
 // renewed only once half its time is over, so that repeated signs make no
 // messages.
-func (s *Set) renew(now time.Time, key voteKey, leaving bool) (Vote, bool) {
+func (s *Set) renew(now time.Time, key voteKey, leaving bool) (Signal, bool) {
 	old, ok := s.votes[key]
-	fresh := ok && old.Expires.Sub(now) > VoteTime/2
+	fresh := ok && old.Expires.Sub(now) > SignalTTL/2
 	if fresh && old.Leaving == leaving {
-		return Vote{}, false
+		return Signal{}, false
 	}
-	vote := Vote{
+	vote := Signal{
 		Name: key.name, Source: key.source, Leaving: leaving,
 		Version: max(now.UnixMilli(), old.Version+1),
-		Expires: now.Add(VoteTime),
+		Expires: now.Add(SignalTTL),
 	}
 	return vote, s.Merge(now, vote)
 }
@@ -156,7 +156,7 @@
 // room reports whether one more vote may be held; it forgets expired ones
 // where the set is full.
 func (s *Set) room(now time.Time) bool {
-	if len(s.votes) < MaxVotes {
+	if len(s.votes) < MaxSignals {
 		return true
 	}
 	for key, vote := range s.votes {
@@ -164,7 +164,7 @@
 			delete(s.votes, key)
 		}
 	}
-	return len(s.votes) < MaxVotes
+	return len(s.votes) < MaxSignals
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/leaving/set_test.go
+++ b/internal/leaving/set_test.go
@@ -16,41 +16,41 @@
 		want  bool
 	}{
 		{"nobody said anything", func(*Set) {}, false},
-		{"engine leaves", func(s *Set) { s.Engine(start, start, name, true) }, true},
+		{"engine leaves", func(s *Set) { s.RecordEngine(start, start, name, true) }, true},
 		{"engine serves again", func(s *Set) {
-			s.Engine(start, start, name, true)
-			s.Engine(at(time.Second), at(time.Second), name, false)
+			s.RecordEngine(start, start, name, true)
+			s.RecordEngine(at(time.Second), at(time.Second), name, false)
 		}, false},
 		{"a report from before the refusal changes nothing", func(s *Set) {
-			s.Engine(start, start, name, true)
-			s.Engine(at(time.Second), at(-time.Second), name, false)
+			s.RecordEngine(start, start, name, true)
+			s.RecordEngine(at(time.Second), at(-time.Second), name, false)
 		}, true},
 		{"engine serves, operator drains", func(s *Set) {
-			s.Operator(start, name, true, 7)
-			s.Engine(at(time.Second), at(time.Second), name, false)
+			s.RecordOperator(start, name, true, 7)
+			s.RecordEngine(at(time.Second), at(time.Second), name, false)
 		}, true},
 		{"older configuration changes nothing", func(s *Set) {
-			s.Operator(start, name, true, 7)
-			s.Operator(at(time.Second), name, false, 6)
+			s.RecordOperator(start, name, true, 7)
+			s.RecordOperator(at(time.Second), name, false, 6)
 		}, true},
 		{"newer configuration ends the drain", func(s *Set) {
-			s.Operator(start, name, true, 7)
-			s.Operator(at(time.Second), name, false, 8)
+			s.RecordOperator(start, name, true, 7)
+			s.RecordOperator(at(time.Second), name, false, 8)
 		}, false},
 		{"a lagging list that never said leaving takes nothing back", func(s *Set) {
-			s.Merge(start, Vote{name, SourceInstances, true, start.UnixMilli(), at(VoteTime)})
-			s.Instance(at(time.Second), name, false)
+			s.Merge(start, Signal{name, SourceInstances, true, start.UnixMilli(), at(SignalTTL)})
+			s.RecordInstance(at(time.Second), name, false)
 		}, true},
 		{"a list that said leaving takes it back", func(s *Set) {
-			s.Instance(start, name, true)
-			s.Instance(at(time.Second), name, false)
+			s.RecordInstance(start, name, true)
+			s.RecordInstance(at(time.Second), name, false)
 		}, false},
 		{"an older vote of a peer changes nothing", func(s *Set) {
-			s.Engine(start, start, name, true)
-			s.Merge(start, Vote{name, SourceEngine, false, start.UnixMilli() - 1, at(VoteTime)})
+			s.RecordEngine(start, start, name, true)
+			s.Merge(start, Signal{name, SourceEngine, false, start.UnixMilli() - 1, at(SignalTTL)})
 		}, true},
 		{"an expired vote counts for nothing", func(s *Set) {
-			s.Engine(at(-VoteTime), at(-VoteTime), name, true)
+			s.RecordEngine(at(-SignalTTL), at(-SignalTTL), name, true)
 		}, false},
 	}
 	for _, test := range tests {
@@ -68,11 +68,11 @@
 	s := NewSet()
 	messages := 0
 	for i := range 3600 {
-		if _, news := s.Engine(start.Add(time.Duration(i)*time.Second), start, "r", true); news {
+		if _, news := s.RecordEngine(start.Add(time.Duration(i)*time.Second), start, "r", true); news {
 			messages++
 		}
 	}
-	if want := int(time.Hour / (VoteTime / 2)); messages > want {
+	if want := int(time.Hour / (SignalTTL / 2)); messages > want {
 		t.Errorf("%d messages in an hour of signs, want at most %d", messages, want)
 	}
 	if !s.Leaving(start.Add(time.Hour), "r") {
@@ -82,13 +82,13 @@
 
 func TestSetIsBounded(t *testing.T) {
 	s := NewSet()
-	for i := range MaxVotes + 10 {
-		s.Merge(start, Vote{string(rune(i)), SourceEngine, true, 1, start.Add(time.Minute)})
+	for i := range MaxSignals + 10 {
+		s.Merge(start, Signal{string(rune(i)), SourceEngine, true, 1, start.Add(time.Minute)})
 	}
-	if len(s.votes) != MaxVotes {
-		t.Errorf("%d votes held, want %d", len(s.votes), MaxVotes)
+	if len(s.votes) != MaxSignals {
+		t.Errorf("%d votes held, want %d", len(s.votes), MaxSignals)
 	}
-	if !s.Merge(start.Add(time.Hour), Vote{"new", SourceEngine, true, 1, start.Add(2 * time.Hour)}) {
+	if !s.Merge(start.Add(time.Hour), Signal{"new", SourceEngine, true, 1, start.Add(2 * time.Hour)}) {
 		t.Error("expired votes leave no room")
 	}
 }
--- a/internal/leaving/tracker.go
+++ b/internal/leaving/tracker.go
@@ -74,32 +74,32 @@
 	return shard.set.Leaving(time.Now(), name)
 }
 
-// EngineLeaving takes in a replica's refusal with the code `leaving`, or a
+// RecordEngineLeaving takes in a replica's refusal with the code `leaving`, or a
 // load report that says so.
-func (t *Tracker) EngineLeaving(name string) {
-	t.sign(name, func(s *Set, now time.Time) (Vote, bool) { return s.Engine(now, now, name, true) })
+func (t *Tracker) RecordEngineLeaving(name string) {
+	t.sign(name, func(s *Set, now time.Time) (Signal, bool) { return s.RecordEngine(now, now, name, true) })
 }
 
-// EngineServing takes in a load report that does not say leaving, and when the
+// RecordEngineServing takes in a load report that does not say leaving, and when the
 // replica measured it by this node's clock.
-func (t *Tracker) EngineServing(name string, measured time.Time) {
-	t.sign(name, func(s *Set, now time.Time) (Vote, bool) { return s.Engine(now, measured, name, false) })
+func (t *Tracker) RecordEngineServing(name string, measured time.Time) {
+	t.sign(name, func(s *Set, now time.Time) (Signal, bool) { return s.RecordEngine(now, measured, name, false) })
 }
 
-// Instances takes in this node's copy of the platform's list.
-func (t *Tracker) Instances(list []platform.Instance) {
+// RecordInstances takes in this node's copy of the platform's list.
+func (t *Tracker) RecordInstances(list []platform.Instance) {
 	for _, instance := range list {
 		leaving := instance.State == platform.InstanceLeaving
-		t.sign(instance.Name, func(s *Set, now time.Time) (Vote, bool) {
-			return s.Instance(now, instance.Name, leaving)
+		t.sign(instance.Name, func(s *Set, now time.Time) (Signal, bool) {
+			return s.RecordInstance(now, instance.Name, leaving)
 		})
 	}
 }
 
-// Operator takes in what the configuration of a revision says of a name.
-func (t *Tracker) Operator(name string, leaving bool, revision int64) {
-	t.sign(name, func(s *Set, now time.Time) (Vote, bool) {
-		return s.Operator(now, name, leaving, revision)
+// RecordOperator takes in what the configuration of a revision says of a name.
+func (t *Tracker) RecordOperator(name string, leaving bool, revision int64) {
+	t.sign(name, func(s *Set, now time.Time) (Signal, bool) {
+		return s.RecordOperator(now, name, leaving, revision)
 	})
 }
 
@@ -109,7 +109,7 @@
 	if !ok || len(n.GetValue()) != 1 {
 		return
 	}
-	vote := Vote{
+	vote := Signal{
 		Name: name, Source: Source(source), Leaving: n.Value[0] == valueLeaving,
 		Version: n.Version, Expires: time.UnixMilli(n.Expires),
 	}
@@ -132,7 +132,7 @@
 	return &t.shards[xxhash.Sum64String(name)%trackerShards]
 }
 
-func (t *Tracker) sign(name string, apply func(*Set, time.Time) (Vote, bool)) {
+func (t *Tracker) sign(name string, apply func(*Set, time.Time) (Signal, bool)) {
 	shard := t.shard(name)
 	shard.mu.Lock()
 	vote, news := apply(shard.set, time.Now())
@@ -147,7 +147,7 @@
 }
 
 // tell counts a piece of news and passes it on.
-func (t *Tracker) tell(vote Vote, fromPeer string) {
+func (t *Tracker) tell(vote Signal, fromPeer string) {
 	leaving := "no"
 	if vote.Leaving {
 		leaving = "yes"
@@ -158,7 +158,7 @@
 	}
 }
 
-func note(vote Vote) *membershipv1.Note {
+func note(vote Signal) *membershipv1.Note {
 	value := valueServing
 	if vote.Leaving {
 		value = valueLeaving
--- a/internal/leaving/tracker_test.go
+++ b/internal/leaving/tracker_test.go
@@ -26,10 +26,10 @@
 // of eight and looks at the seven others.
 func TestAllNodesKnowWithinThreeSeconds(t *testing.T) {
 	signs := map[string]func(t *Tracker, name string){
-		"refusal or report": func(t *Tracker, name string) { t.EngineLeaving(name) },
-		"operator":          func(t *Tracker, name string) { t.Operator(name, true, 4) },
+		"refusal or report": func(t *Tracker, name string) { t.RecordEngineLeaving(name) },
+		"operator":          func(t *Tracker, name string) { t.RecordOperator(name, true, 4) },
 		"instance list": func(t *Tracker, name string) {
-			t.Instances([]platform.Instance{{Name: name, State: platform.InstanceLeaving}})
+			t.RecordInstances([]platform.Instance{{Name: name, State: platform.InstanceLeaving}})
 		},
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -54,9 +54,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		trackers, stop := startNodes(t)
 		defer stop()
-		trackers[0].EngineLeaving("r")
+		trackers[0].RecordEngineLeaving("r")
 		time.Sleep(limit)
-		trackers[5].EngineServing("r", time.Now())
+		trackers[5].RecordEngineServing("r", time.Now())
 		time.Sleep(limit)
 		if n := countLeaving(trackers, "r"); n != 0 {
 			t.Errorf("%d nodes still think that the replica leaves", n)
--- a/internal/node/loadwatch.go
+++ b/internal/node/loadwatch.go
@@ -62,11 +62,11 @@
 
 func (m *members) takeReport(name string, report openai.LoadReport) {
 	if report.Leaving {
-		m.tracker.EngineLeaving(name)
+		m.tracker.RecordEngineLeaving(name)
 		return
 	}
 	age := time.Duration(report.AgeMillis) * time.Millisecond
-	m.tracker.EngineServing(name, time.Now().Add(-age))
+	m.tracker.RecordEngineServing(name, time.Now().Add(-age))
 }
 
 // ownedEngines returns the addresses of the engines that this node owns.
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -115,7 +115,7 @@
 	m.told = make(map[replicaKey]bool)
 	m.mu.Unlock()
 	for key, replica := range replicas.byKey {
-		m.tracker.Operator(key.replica, replica.Leaving, index.Revision())
+		m.tracker.RecordOperator(key.replica, replica.Leaving, index.Revision())
 	}
 	m.runner.SetStatus(m.runner.Self().Load, index.Revision())
 	m.wake()
@@ -130,7 +130,7 @@
 	name, ok := m.replicas.names[address]
 	m.mu.Unlock()
 	if ok {
-		m.tracker.EngineLeaving(name)
+		m.tracker.RecordEngineLeaving(name)
 	}
 }
 
@@ -211,7 +211,7 @@
 	m.mu.Lock()
 	entries, upstreams := m.replicas.split(list)
 	m.mu.Unlock()
-	m.tracker.Instances(upstreams)
+	m.tracker.RecordInstances(upstreams)
 	m.runner.ApplyInstances(entries)
 }
 
--- a/internal/nodesync/bench_test.go
+++ b/internal/nodesync/bench_test.go
@@ -45,7 +45,7 @@
 	nodes := largeFleet(n)
 	hubs := nodes[0].hubs(100 * second)
 	for i, node := range nodes {
-		node.options.SumsFor = DefaultSumsFor
+		node.options.SumsMaxAge = DefaultSumsMaxAge
 		node.options.Replicas.Update(listing, 100*second, 100*second)
 		for session := range 10 {
 			node.options.Placer.Choose(time.Now(), "u", &placement.Request{PromptTokens: 900, Shared: []placement.PromptPart{{ID: uint64(i*10 + session), Tokens: 100}}})
--- a/internal/nodesync/convert.go
+++ b/internal/nodesync/convert.go
@@ -13,7 +13,7 @@
 	return &nodesyncv1.Node{
 		Name: n.Name, AvailabilityZone: n.AvailabilityZone,
 		EntryAddress: n.EntryAddress, PeerAddress: n.PeerAddress,
-		Ready: n.Ready, Leaving: n.Leaving, HeardAge: now.Sub(n.HeardAt).Microseconds(),
+		Ready: n.Ready, Leaving: n.Leaving, HeardAge: now.Sub(n.LastSeen).Microseconds(),
 		ProcessorShare: n.ProcessorShare, DutyFence: n.DutyFence,
 	}
 }
@@ -26,7 +26,7 @@
 		Ready: n.GetReady(), Leaving: n.GetLeaving(),
 		ProcessorShare: n.GetProcessorShare(), DutyFence: n.GetDutyFence(),
 
-		HeardAt: began.Add(-microseconds(n.GetHeardAge())),
+		LastSeen: began.Add(-microseconds(n.GetHeardAge())),
 	}
 }
 
--- a/internal/nodesync/entries.go
+++ b/internal/nodesync/entries.go
@@ -6,22 +6,22 @@
 	"galenatrestle/internal/boottime"
 )
 
-// EntriesPerZone is the number of nodes to which callers of one availability zone are
+// EntryNodesPerZone is the number of nodes to which callers of one availability zone are
 // sent in a fleet that is too large to be told whole. All that know the same nodes
 // tell the same ones, so that callers keep their connections.
-const EntriesPerZone = 16
+const EntryNodesPerZone = 16
 
-// Entries are the nodes to which callers of the availability zone are sent: those of
+// EntryNodes are the nodes to which callers of the availability zone are sent: those of
 // the zone with the most processor, and nodes of other zones where it has too few. An
 // empty zone stands for this node's.
-func (s *Sync) Entries(zone string) []Node {
+func (s *Sync) EntryNodes(zone string) []Node {
 	self := s.options.Self()
 	return s.entries(cmp.Or(zone, self.AvailabilityZone), self, s.options.Clock())
 }
 
 func (s *Sync) entries(zone string, self Node, now boottime.Instant) []Node {
-	own := best{most: EntriesPerZone, compare: compareForEntry}
-	others := best{most: EntriesPerZone, compare: func(a, b *Node) int {
+	own := best{most: EntryNodesPerZone, compare: compareForEntry}
+	others := best{most: EntryNodesPerZone, compare: func(a, b *Node) int {
 		return cmp.Compare(rankOf(zone+a.Name), rankOf(zone+b.Name))
 	}}
 	offer := func(n *Node) {
@@ -38,7 +38,7 @@
 			offer(&r.Node)
 		}
 	})
-	missing := EntriesPerZone - len(own.nodes)
+	missing := EntryNodesPerZone - len(own.nodes)
 	if missing <= 0 {
 		return own.nodes
 	}
--- a/internal/nodesync/entries_test.go
+++ b/internal/nodesync/entries_test.go
@@ -12,16 +12,16 @@
 	nodes := fleetOf(240, 5)
 	taken := make(map[string]int)
 	for _, zone := range []string{"z0", "z1", "z2", "z3", "z4"} {
-		want := names(nodes[0].Entries(zone))
-		if len(want) != EntriesPerZone {
-			t.Fatalf("%s: %d entries, want %d", zone, len(want), EntriesPerZone)
+		want := names(nodes[0].EntryNodes(zone))
+		if len(want) != EntryNodesPerZone {
+			t.Fatalf("%s: %d entries, want %d", zone, len(want), EntryNodesPerZone)
 		}
 		for _, n := range nodes {
-			if got := names(n.Entries(zone)); !slices.Equal(got, want) {
+			if got := names(n.EntryNodes(zone)); !slices.Equal(got, want) {
 				t.Errorf("%s: %s tells %v, others %v", zone, n.options.Self().Name, got, want)
 			}
 		}
-		for _, entry := range nodes[0].Entries(zone) {
+		for _, entry := range nodes[0].EntryNodes(zone) {
 			taken[entry.AvailabilityZone]++
 			if entry.AvailabilityZone != zone {
 				t.Errorf("callers of %s are sent to %s", zone, entry.AvailabilityZone)
@@ -37,10 +37,10 @@
 func TestEntriesHaveTheMostProcessor(t *testing.T) {
 	nodes := fleetOf(240, 3)
 	strong := nodes[9].options.Self()
-	strong.ProcessorShare, strong.HeardAt = 0.8, 101*second
+	strong.ProcessorShare, strong.LastSeen = 0.8, 101*second
 	nodes[0].now = 101 * second
-	nodes[0].options.Nodes.Take(strong)
-	if first := nodes[0].Entries(strong.AvailabilityZone)[0]; first.Name != strong.Name {
+	nodes[0].options.Nodes.Merge(strong)
+	if first := nodes[0].EntryNodes(strong.AvailabilityZone)[0]; first.Name != strong.Name {
 		t.Errorf("the first entry is %s, want %s, which has the most processor", first.Name, strong.Name)
 	}
 }
@@ -51,11 +51,11 @@
 	n := nodes[1]
 	for _, other := range nodes {
 		if self := other.options.Self(); self.AvailabilityZone == "z0" {
-			n.options.Nodes.Failed(self.Name, 101*second)
+			n.options.Nodes.MarkFailed(self.Name, 101*second)
 		}
 	}
-	lost, unknown := n.Entries("z0"), n.Entries("somewhere")
-	if len(lost) != EntriesPerZone || len(unknown) != EntriesPerZone {
+	lost, unknown := n.EntryNodes("z0"), n.EntryNodes("somewhere")
+	if len(lost) != EntryNodesPerZone || len(unknown) != EntryNodesPerZone {
 		t.Fatalf("%d and %d entries", len(lost), len(unknown))
 	}
 	for _, entry := range lost {
@@ -74,7 +74,7 @@
 	nodes := fleetOf(240, 3)
 	n := nodes[5]
 	told := names(n.told("z1", n.now))
-	for _, entry := range n.Entries("z1") {
+	for _, entry := range n.EntryNodes("z1") {
 		if entry.Name != n.options.Self().Name && !slices.Contains(told, entry.Name) {
 			t.Errorf("%s does not tell of the entry %s", n.options.Self().Name, entry.Name)
 		}
--- a/internal/nodesync/hub.go
+++ b/internal/nodesync/hub.go
@@ -109,18 +109,18 @@
 
 // The roles.
 const (
-	// Equal nodes are those of a fleet without hubs.
-	Equal Role = iota
-	// Hub nodes are the first of their availability zone that add up for others.
-	Hub
-	// FurtherHub nodes add up too, in a zone that is too large for one.
-	FurtherHub
+	// Peer nodes are those of a fleet without hubs.
+	Peer Role = iota
+	// PrimaryHub nodes are the first of their availability zone that add up for others.
+	PrimaryHub
+	// SecondaryHub nodes add up too, in a zone that is too large for one.
+	SecondaryHub
 	// Member nodes ask a hub.
 	Member
 )
 
 // addsUp says whether a node of the role adds up for others.
-func (r Role) addsUp() bool { return r == Hub || r == FurtherHub }
+func (r Role) addsUp() bool { return r == PrimaryHub || r == SecondaryHub }
 
 // Role is this node's part now.
 func (s *Sync) Role() Role { return roleOf(s.options.Self(), s.hubs(s.options.Clock())) }
@@ -128,14 +128,14 @@
 func roleOf(n Node, hubs []Node) Role {
 	switch hubFor(n, hubs).Name {
 	case "":
-		return Equal
+		return Peer
 	case n.Name:
 	default:
 		return Member
 	}
 	first := slices.IndexFunc(hubs, func(hub Node) bool { return hub.AvailabilityZone == n.AvailabilityZone })
 	if hubs[first].Name == n.Name {
-		return Hub
+		return PrimaryHub
 	}
-	return FurtherHub
+	return SecondaryHub
 }
--- a/internal/nodesync/hub_loads_test.go
+++ b/internal/nodesync/hub_loads_test.go
@@ -89,7 +89,7 @@
 		for _, n := range nodes {
 			roles[n.Role()]++
 		}
-		if roles[Hub] != 3 || roles[FurtherHub] != 6 || roles[Member] != 231 {
+		if roles[PrimaryHub] != 3 || roles[SecondaryHub] != 6 || roles[Member] != 231 {
 			t.Errorf("roles %v, want one first hub in each zone", roles)
 		}
 		asked := make(map[string]int)
@@ -121,9 +121,9 @@
 func TestNodesWithMoreProcessorBecomeHubs(t *testing.T) {
 	nodes := largeFleet(30)
 	strong := nodes[10].options.Self()
-	strong.ProcessorShare, strong.HeardAt = 0.8, 101*second
+	strong.ProcessorShare, strong.LastSeen = 0.8, 101*second
 	nodes[0].now = 101 * second
-	nodes[0].options.Nodes.Take(strong)
+	nodes[0].options.Nodes.Merge(strong)
 	if hub := nodes[0].hubOf(strong.AvailabilityZone, nodes[0].now); hub.Name != strong.Name {
 		t.Errorf("the hub is %s, want %s, which has the most processor", hub.Name, strong.Name)
 	}
@@ -152,10 +152,10 @@
 	before := nodes[0].hubs(nodes[0].now)
 	for _, n := range nodes {
 		self := n.options.Self()
-		self.Ready, self.HeardAt = false, 101*second
+		self.Ready, self.LastSeen = false, 101*second
 		for _, other := range nodes {
 			other.now = 101 * second
-			other.options.Nodes.Take(self)
+			other.options.Nodes.Merge(self)
 		}
 	}
 	for _, n := range nodes {
@@ -171,9 +171,9 @@
 	}
 	// A ready node goes before those that are not.
 	ready := nodes[10].options.Self()
-	ready.Ready, ready.HeardAt = true, 102*second
+	ready.Ready, ready.LastSeen = true, 102*second
 	nodes[0].now = 102 * second
-	nodes[0].options.Nodes.Take(ready)
+	nodes[0].options.Nodes.Merge(ready)
 	if hub := nodes[0].hubOf(ready.AvailabilityZone, nodes[0].now); hub.Name != ready.Name {
 		t.Errorf("the hub is %s, want %s, which alone is ready", hub.Name, ready.Name)
 	}
@@ -204,8 +204,8 @@
 func (n *testNode) hearsOf(others []*testNode) {
 	for _, other := range others {
 		self := other.options.Self()
-		self.HeardAt = n.now
-		n.options.Nodes.Take(self)
+		self.LastSeen = n.now
+		n.options.Nodes.Merge(self)
 	}
 }
 
@@ -233,7 +233,7 @@
 			t.Fatalf("%d nodes are asked in a round", len(targets))
 		}
 	}
-	a.options.Nodes.Suggest(Node{Name: "new", PeerAddress: "new:1"}, a.now)
+	a.options.Nodes.AddCandidate(Node{Name: "new", PeerAddress: "new:1"}, a.now)
 	if !slices.ContainsFunc(a.targets(), func(t target) bool { return t.name == "new" }) {
 		t.Error("a node that was announced is not looked for")
 	}
--- a/internal/nodesync/hub_test.go
+++ b/internal/nodesync/hub_test.go
@@ -36,8 +36,8 @@
 	for _, a := range nodes {
 		for _, b := range nodes {
 			self := b.options.Self()
-			self.HeardAt = 100 * second
-			a.options.Nodes.Take(self)
+			self.LastSeen = 100 * second
+			a.options.Nodes.Merge(self)
 		}
 	}
 	return nodes
@@ -103,7 +103,7 @@
 	nodes := largeFleet(30)
 	gone := nodes[0].hubOf("z1", 100*second)
 	for _, n := range nodes {
-		n.options.Nodes.Failed(gone.Name, boottime.Instant(101*time.Second))
+		n.options.Nodes.MarkFailed(gone.Name, boottime.Instant(101*time.Second))
 	}
 	next := nodes[0].hubOf("z1", 100*second)
 	if next.Name == gone.Name || next.Name == "" {
@@ -116,10 +116,10 @@
 	for _, n := range largeFleet(30) {
 		roles[n.Role()]++
 	}
-	if roles[Hub] != 3 || roles[Member] != 27 {
+	if roles[PrimaryHub] != 3 || roles[Member] != 27 {
 		t.Errorf("roles %v, want a hub in each of three zones", roles)
 	}
-	if role := largeFleet(6)[0].Role(); role != Equal {
+	if role := largeFleet(6)[0].Role(); role != Peer {
 		t.Errorf("role %d in a fleet of six", role)
 	}
 }
@@ -127,9 +127,9 @@
 func TestAHubOfManyZonesAsksEachOtherHub(t *testing.T) {
 	const zones = 9
 	for _, n := range fleetOf(45, zones) {
-		n.options.Nodes.Suggest(Node{Name: "silent", PeerAddress: "silent:1"}, n.now)
+		n.options.Nodes.AddCandidate(Node{Name: "silent", PeerAddress: "silent:1"}, n.now)
 		targets := n.targets()
-		if n.Role() == Hub && len(targets) < zones-1 {
+		if n.Role() == PrimaryHub && len(targets) < zones-1 {
 			t.Errorf("a hub asks %d nodes, want the hubs of %d other zones", len(targets), zones-1)
 		}
 		asksSilent := false
--- a/internal/nodesync/hubchoice_test.go
+++ b/internal/nodesync/hubchoice_test.go
@@ -21,9 +21,9 @@
 			node := Node{
 				Name: fmt.Sprintf("vm-%d", i), AvailabilityZone: fmt.Sprintf("z%d", random.IntN(4)),
 				Ready: random.IntN(4) > 0, Leaving: random.IntN(8) == 0,
-				ProcessorShare: float32(random.IntN(3)), HeardAt: 100*second - boottime.Instant(random.IntN(2))*30*second,
+				ProcessorShare: float32(random.IntN(3)), LastSeen: 100*second - boottime.Instant(random.IntN(2))*30*second,
 			}
-			n.options.Nodes.Take(node)
+			n.options.Nodes.Merge(node)
 			all = append(all, node)
 		}
 		got := n.chooseHubs(n.options.Self(), n.now)
@@ -40,7 +40,7 @@
 	var staying []Node
 	for i, n := range nodes {
 		sizes[n.AvailabilityZone]++
-		if i == len(nodes)-1 || now.Sub(n.HeardAt) < aliveFor && !n.Leaving {
+		if i == len(nodes)-1 || now.Sub(n.LastSeen) < aliveFor && !n.Leaving {
 			n.rank = rankOf(n.Name)
 			staying = append(staying, n)
 		}
--- a/internal/nodesync/listing.go
+++ b/internal/nodesync/listing.go
@@ -42,7 +42,7 @@
 		return
 	}
 	readAt := began.Add(-microseconds(m.GetReplicasReadAge()))
-	s.options.Listed(s.options.Replicas.Update(listing, readAt, s.options.Clock()))
+	s.options.OnReplicaChanges(s.options.Replicas.Update(listing, readAt, s.options.Clock()))
 }
 
 // toldListing is the listing that the answer tells, for a node that has own; it is
--- a/internal/nodesync/node.go
+++ b/internal/nodesync/node.go
@@ -16,8 +16,8 @@
 	ProcessorShare float32
 	// DutyFence is the fencing token of the duties that it holds; zero: it holds none.
 	DutyFence int64
-	// HeardAt is the latest instant at which it was alive.
-	HeardAt boottime.Instant
+	// LastSeen is the latest instant at which it was alive.
+	LastSeen boottime.Instant
 	// rank is rankOf the name.
 	rank uint64
 	// unmet nodes were only suggested.
@@ -26,6 +26,6 @@
 
 // alike says whether both tell the same of a node, but for the time.
 func (n Node) alike(other Node) bool {
-	n.HeardAt, n.rank, n.unmet = other.HeardAt, other.rank, other.unmet
+	n.LastSeen, n.rank, n.unmet = other.LastSeen, other.rank, other.unmet
 	return n == other
 }
--- a/internal/nodesync/nodes.go
+++ b/internal/nodesync/nodes.go
@@ -45,7 +45,7 @@
 func (r *record) remembered(now boottime.Instant) bool { return r.heardWithin(rememberFor, now) }
 
 func (r *record) heardWithin(span time.Duration, now boottime.Instant) bool {
-	return now.Sub(r.HeardAt) < span
+	return now.Sub(r.LastSeen) < span
 }
 
 // Nodes are the nodes that are known, this one left out. It is safe for
@@ -77,9 +77,9 @@
 	n.seeds = seeds
 }
 
-// Take takes in what is known of a node; older news than what is known already
+// Merge takes in what is known of a node; older news than what is known already
 // change nothing. It reports whether the node was unknown or not alive before.
-func (n *Nodes) Take(node Node) bool {
+func (n *Nodes) Merge(node Node) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if node.Name == "" || node.Name == n.self {
@@ -88,15 +88,15 @@
 	old, had := n.known[node.Name]
 	if !had {
 		node.rank = rankOf(node.Name)
-		return n.add(node, node.HeardAt)
+		return n.add(node, node.LastSeen)
 	}
-	if node.HeardAt <= old.HeardAt || old.failed && node.HeardAt <= old.failedAt {
+	if node.LastSeen <= old.LastSeen || old.failed && node.LastSeen <= old.failedAt {
 		return false
 	}
-	if !old.alive(node.HeardAt) || !old.alike(node) {
+	if !old.alive(node.LastSeen) || !old.alike(node) {
 		n.changes++
 	}
-	found := node.HeardAt.Sub(old.HeardAt) > aliveFor
+	found := node.LastSeen.Sub(old.LastSeen) > aliveFor
 	node.rank = old.rank
 	*old = record{Node: node}
 	return found
@@ -131,8 +131,8 @@
 	})
 }
 
-// Failed notes that nobody answered at the node's address at the instant.
-func (n *Nodes) Failed(name string, at boottime.Instant) {
+// MarkFailed notes that nobody answered at the node's address at the instant.
+func (n *Nodes) MarkFailed(name string, at boottime.Instant) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if r, known := n.known[name]; known {
@@ -212,13 +212,13 @@
 	return n.list(func(r *record) bool { return r.alive(now) })
 }
 
-// HeardWithin lists the nodes that were heard of within the time, by name.
-func (n *Nodes) HeardWithin(span time.Duration, now boottime.Instant) []Node {
+// SeenWithin lists the nodes that were heard of within the time, by name.
+func (n *Nodes) SeenWithin(span time.Duration, now boottime.Instant) []Node {
 	return n.list(func(r *record) bool { return r.heardWithin(span, now) })
 }
 
-// DutiesHeld says whether a node that was heard of lately holds the fleet's duties.
-func (n *Nodes) DutiesHeld(now boottime.Instant) bool {
+// HasDutyHolder says whether a node that was heard of lately holds the fleet's duties.
+func (n *Nodes) HasDutyHolder(now boottime.Instant) bool {
 	return n.count(func(r *record) bool { return r.DutyFence != 0 && r.alive(now) }) > 0
 }
 
@@ -227,9 +227,9 @@
 	return n.count(func(r *record) bool { return r.alive(now) })
 }
 
-// Count is the number of nodes that may serve, this one included: those that
+// KnownCount is the number of nodes that may serve, this one included: those that
 // were heard of within rememberFor.
-func (n *Nodes) Count(now boottime.Instant) int {
+func (n *Nodes) KnownCount(now boottime.Instant) int {
 	return n.count(func(r *record) bool { return r.remembered(now) }) + 1
 }
 
@@ -244,10 +244,10 @@
 	})
 }
 
-// Suggest adds a node that may exist, to be asked: nothing is known of its
+// AddCandidate adds a node that may exist, to be asked: nothing is known of its
 // state, and what is known of a node already stays. One that was silent for long is
 // asked again: after a long partition nobody else would begin.
-func (n *Nodes) Suggest(node Node, now boottime.Instant) {
+func (n *Nodes) AddCandidate(node Node, now boottime.Instant) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	old, had := n.known[node.Name]
@@ -255,7 +255,7 @@
 		return
 	}
 	node.Ready, node.Leaving, node.rank, node.unmet = false, false, rankOf(node.Name), true
-	node.HeardAt = now.Add(-aliveFor)
+	node.LastSeen = now.Add(-aliveFor)
 	if had {
 		*old = record{Node: node}
 		return
--- a/internal/nodesync/nodes_test.go
+++ b/internal/nodesync/nodes_test.go
@@ -33,7 +33,7 @@
 	nodes := NewNodes("self", nil)
 	for i := range 3 * MaxNodes {
 		at := boottime.Instant(i) * second
-		if !nodes.Take(Node{Name: fmt.Sprintf("vm-%d", i), HeardAt: at}) {
+		if !nodes.Merge(Node{Name: fmt.Sprintf("vm-%d", i), LastSeen: at}) {
 			t.Fatalf("node %d is not remembered", i)
 		}
 	}
@@ -47,10 +47,10 @@
 func TestTheSidesOfALongPartitionFindEachOther(t *testing.T) {
 	a := newTestNode("a", 100*second)
 	a.options.Nodes.SetSeeds([]string{"seed:1"})
-	a.options.Nodes.Take(Node{Name: "seed", PeerAddress: "seed:1", HeardAt: a.now})
-	a.options.Nodes.Take(Node{Name: "other", PeerAddress: "other:1", HeardAt: a.now})
+	a.options.Nodes.Merge(Node{Name: "seed", PeerAddress: "seed:1", LastSeen: a.now})
+	a.options.Nodes.Merge(Node{Name: "other", PeerAddress: "other:1", LastSeen: a.now})
 	a.now += boottime.Instant(rememberFor) + second
-	a.options.Nodes.Suggest(Node{Name: "other", PeerAddress: "other:1"}, a.now)
+	a.options.Nodes.AddCandidate(Node{Name: "other", PeerAddress: "other:1"}, a.now)
 	asked := make(map[string]bool)
 	for range 20 {
 		for _, target := range a.targets() {
--- a/internal/nodesync/options.go
+++ b/internal/nodesync/options.go
@@ -22,27 +22,27 @@
 	Nodes    *Nodes
 	Routes   *routesource.Current
 	Replicas *replica.Set
-	// Listed is told of each change of the replicas.
-	Listed  func([]replica.Change)
-	Placer  *placement.Placer
-	Tracker *quarantine.Tracker
-	// Limits are the rates that replicas name.
-	Limits *ratelimit.Table
+	// OnReplicaChanges is told of each change of the replicas.
+	OnReplicaChanges func([]replica.Change)
+	Placer           *placement.Placer
+	Tracker          *quarantine.Tracker
+	// RateLimits are the rates that replicas name.
+	RateLimits *ratelimit.Table
 	// Clients may be given later by SetClients.
 	Clients *peer.Clients
-	// IdleTicks is the number of rounds of which a node that serves nobody makes one.
-	IdleTicks func() int
-	// SumsFor is how long a hub tells the same sums; zero: it adds up for each
+	// IdleRoundInterval is the number of rounds of which a node that serves nobody makes one.
+	IdleRoundInterval func() int
+	// SumsMaxAge is how long a hub tells the same sums; zero: it adds up for each
 	// answer.
-	SumsFor time.Duration
-	Clock   boottime.Clock
-	// Time is the fleet's time of day; nil where nothing is counted by it, and nodes do
+	SumsMaxAge time.Duration
+	Clock      boottime.Clock
+	// FleetTime is the fleet's time of day; nil where nothing is counted by it, and nodes do
 	// not tell theirs.
-	Time *fleettime.Clock
-	Rand *rand.Rand
-	Log  *eventlog.Log
+	FleetTime *fleettime.Clock
+	Rand      *rand.Rand
+	Log       *eventlog.Log
 }
 
-// DefaultSumsFor is a quarter of the time between two rounds: a member hears little
+// DefaultSumsMaxAge is a quarter of the time between two rounds: a member hears little
 // later, and a hub adds up twenty times a second at most.
-const DefaultSumsFor = roundEvery / 4
+const DefaultSumsMaxAge = roundEvery / 4
--- a/internal/nodesync/ratelimits.go
+++ b/internal/nodesync/ratelimits.go
@@ -16,14 +16,14 @@
 	limits := slices.DeleteFunc(ratelimit.FromProto(told, began), func(l ratelimit.Limit) bool {
 		return !s.options.Replicas.HasProcess(l.Replica, l.StartedAt)
 	})
-	for _, news := range s.options.Limits.Take(limits) {
+	for _, news := range s.options.RateLimits.Take(limits) {
 		s.options.Log.Write(&ratelimit.Changed{Limit: news, From: from, Age: s.options.Clock().Sub(news.At)})
 	}
 }
 
-// IssuerOf is the node that issues the permits of the replica: one of the hubs, or in a
+// PermitIssuer is the node that issues the permits of the replica: one of the hubs, or in a
 // small fleet one of the nodes that stay. All that know the same nodes name the same one.
-func (s *Sync) IssuerOf(replica string) Node {
+func (s *Sync) PermitIssuer(replica string) Node {
 	self := s.options.Self()
 	now := s.options.Clock()
 	var issuer Node
@@ -50,11 +50,11 @@
 	return issuer
 }
 
-// HeardShare is the part of the nodes that may serve which were heard of lately, this node
+// SeenFraction is the part of the nodes that may serve which were heard of lately, this node
 // included. The others may have ended, or be cut off and decide without this part.
-func (s *Sync) HeardShare() float64 {
+func (s *Sync) SeenFraction() float64 {
 	now := s.options.Clock()
-	lately := max(aliveFor, silentAfter(s.options.Nodes.Count(now)-1)) + lateNews
+	lately := max(aliveFor, silentAfter(s.options.Nodes.KnownCount(now)-1)) + lateNews
 	known, heard := 1, 1
 	s.options.Nodes.visit(func(r *record) {
 		if !r.remembered(now) || r.Leaving || r.unmet {
--- a/internal/nodesync/ratelimits_test.go
+++ b/internal/nodesync/ratelimits_test.go
@@ -11,7 +11,7 @@
 
 // names has the node get an answer of the replica that names a rate, or none any more.
 func (n *testNode) names(id string, limited bool) {
-	n.options.Limits.Answered(ratelimit.Answer{
+	n.options.RateLimits.Answered(ratelimit.Answer{
 		Replica: replica.Replica{ID: id}, Limited: limited, PerSecond: 2, Succeeded: true, SentAt: n.now, At: n.now + 1,
 	})
 }
@@ -20,7 +20,7 @@
 func knowing(nodes []*testNode) int {
 	known := 0
 	for _, n := range nodes {
-		known += len(n.options.Limits.InForce())
+		known += len(n.options.RateLimits.InForce())
 	}
 	return known
 }
@@ -61,7 +61,7 @@
 	nodes := largeFleet(2)
 	nodes[1].names("gone", true)
 	nodes[0].asks(t, nodes[1], 0, 0)
-	if limits := nodes[0].options.Limits.InForce(); len(limits) != 0 {
+	if limits := nodes[0].options.RateLimits.InForce(); len(limits) != 0 {
 		t.Errorf("limits %v", limits)
 	}
 }
@@ -72,10 +72,10 @@
 		nodes := largeFleet(count)
 		for i := range 50 {
 			id := fmt.Sprintf("i-%d", i)
-			want := nodes[0].IssuerOf(id)
+			want := nodes[0].PermitIssuer(id)
 			issuers[want.Name] = true
 			for _, n := range nodes {
-				if got := n.IssuerOf(id); got.Name != want.Name || got.PeerAddress != want.PeerAddress {
+				if got := n.PermitIssuer(id); got.Name != want.Name || got.PeerAddress != want.PeerAddress {
 					t.Fatalf("%d nodes: %s and %s issue the permits of %s", count, got.Name, want.Name, id)
 				}
 			}
@@ -88,7 +88,7 @@
 
 func TestALeavingNodeIssuesNoPermits(t *testing.T) {
 	nodes := largeFleet(3)
-	leaving := nodes[0].IssuerOf("i")
+	leaving := nodes[0].PermitIssuer("i")
 	for _, n := range nodes {
 		plain := n.options.Self
 		if plain().Name == leaving.Name {
@@ -100,11 +100,11 @@
 			continue
 		}
 		told := leaving
-		told.Leaving, told.HeardAt = true, n.now+1
-		n.options.Nodes.Take(told)
+		told.Leaving, told.LastSeen = true, n.now+1
+		n.options.Nodes.Merge(told)
 	}
 	for _, n := range nodes {
-		if got := n.IssuerOf("i"); got.Name == leaving.Name {
+		if got := n.PermitIssuer("i"); got.Name == leaving.Name {
 			t.Errorf("%s takes the leaving node for the issuer", n.options.Self().Name)
 		}
 	}
@@ -113,7 +113,7 @@
 // Two parts of a fleet that can't hear each other have an issuer each.
 func TestAnIssuerUsesThePartOfTheNodesThatItHears(t *testing.T) {
 	nodes := largeFleet(8)
-	if got := nodes[0].HeardShare(); got != 1 {
+	if got := nodes[0].SeenFraction(); got != 1 {
 		t.Errorf("share %g with all nodes heard", got)
 	}
 	for range 20 {
@@ -129,7 +129,7 @@
 		}
 	}
 	for _, n := range nodes {
-		if got := n.HeardShare(); got != 0.5 {
+		if got := n.SeenFraction(); got != 0.5 {
 			t.Errorf("%s: share %g with half of the nodes heard", n.options.Self().Name, got)
 		}
 	}
--- a/internal/nodesync/sums.go
+++ b/internal/nodesync/sums.go
@@ -22,7 +22,7 @@
 func (s *Sync) addedUp(now time.Time) (group, fleet []*nodesyncv1.Load) {
 	s.sums.mu.Lock()
 	defer s.sums.mu.Unlock()
-	if now.Sub(s.sums.at) < s.options.SumsFor {
+	if now.Sub(s.sums.at) < s.options.SumsMaxAge {
 		return s.sums.group, s.sums.fleet
 	}
 	placer := s.options.Placer
--- a/internal/nodesync/sync.go
+++ b/internal/nodesync/sync.go
@@ -77,7 +77,7 @@
 // placed no request lately has no load to tell and decides nothing: it asks less often,
 // as long as it hears of changes in time. Of 295 nodes some two hundred serve nobody.
 func (s *Sync) due(tick int) bool {
-	every := s.options.IdleTicks()
+	every := s.options.IdleRoundInterval()
 	if every <= 1 || tick%every == 0 {
 		return true
 	}
@@ -114,7 +114,7 @@
 	if err != nil {
 		// A path that went silent takes nothing any more: begin a new one.
 		s.options.Clients.Forget(t.address)
-		s.options.Nodes.Failed(t.name, began)
+		s.options.Nodes.MarkFailed(t.name, began)
 		s.cursors.forget(t.name)
 		s.options.Log.Write(&peerLost{target: t, err: err})
 		return
@@ -144,7 +144,7 @@
 // request is this node's state and what it knows already, for the node asked.
 func (s *Sync) request(t target, now boottime.Instant) *nodesyncv1.ExchangeRequest {
 	self := s.options.Self()
-	self.HeardAt = now
+	self.LastSeen = now
 	listing, _ := s.options.Replicas.Latest()
 	terms := s.termsWith(t.name, now)
 	request := &nodesyncv1.ExchangeRequest{
@@ -156,7 +156,7 @@
 		WithoutLoads:     terms.without,
 		AddsUp:           terms.addsUp,
 		Crashes:          recentCrashes(s.options.Tracker.Records(time.Now()), time.Now()),
-		RateLimits:       ratelimit.ToProto(s.options.Limits.Told(), now),
+		RateLimits:       ratelimit.ToProto(s.options.RateLimits.Told(), now),
 	}
 	if s.wholeListing.Swap(false) {
 		request.ReplicasRevision, request.ReplicasDigest = 0, 0
@@ -198,7 +198,7 @@
 	// too young.
 	now := s.options.Clock()
 	self := s.options.Self()
-	self.HeardAt = now
+	self.LastSeen = now
 	answer := &nodesyncv1.ExchangeResponse{
 		Self:             s.ownToProto(self, now),
 		ConfigVersion:    snapshot.Version(),
@@ -207,7 +207,7 @@
 		ReplicasReadAge:  now.Sub(readAt).Microseconds(),
 		ReplicasDigest:   listing.Digest,
 		Crashes:          recentCrashes(s.options.Tracker.Records(time.Now()), time.Now()),
-		RateLimits:       ratelimit.ToProto(s.options.Limits.Told(), now),
+		RateLimits:       ratelimit.ToProto(s.options.RateLimits.Told(), now),
 	}
 	for _, n := range s.told(m.GetSelf().GetAvailabilityZone(), now) {
 		answer.Nodes = append(answer.Nodes, nodeToProto(n, now))
@@ -224,7 +224,7 @@
 // take takes in another node's answer to what was asked from the instant on.
 func (s *Sync) take(m *nodesyncv1.ExchangeResponse, asked *nodesyncv1.ExchangeRequest, began boottime.Instant) {
 	node := nodeFromProto(m.GetSelf(), began)
-	node.HeardAt = began
+	node.LastSeen = began
 	s.takeNode(node)
 	s.takeTime(m.GetSelf(), s.options.Clock())
 	for _, n := range m.GetNodes() {
@@ -244,21 +244,21 @@
 // ownToProto is this node and its time of day.
 func (s *Sync) ownToProto(self Node, now boottime.Instant) *nodesyncv1.Node {
 	told := nodeToProto(self, now)
-	if s.options.Time != nil {
-		told.WallTime = s.options.Time.Wall().UnixMicro()
+	if s.options.FleetTime != nil {
+		told.WallTime = s.options.FleetTime.Wall().UnixMicro()
 	}
 	return told
 }
 
 // takeTime takes in another node's time of day, heard at the instant.
 func (s *Sync) takeTime(n *nodesyncv1.Node, heardAt boottime.Instant) {
-	if s.options.Time != nil && n.GetWallTime() != 0 {
-		s.options.Time.Told(n.GetName(), time.UnixMicro(n.GetWallTime()), heardAt)
+	if s.options.FleetTime != nil && n.GetWallTime() != 0 {
+		s.options.FleetTime.Told(n.GetName(), time.UnixMicro(n.GetWallTime()), heardAt)
 	}
 }
 
 func (s *Sync) takeNode(n Node) {
-	if s.options.Nodes.Take(n) {
+	if s.options.Nodes.Merge(n) {
 		s.options.Log.Write(&peerFound{node: n})
 	}
 }
@@ -286,9 +286,9 @@
 // Run.
 func (s *Sync) SetClients(clients *peer.Clients) { s.options.Clients = clients }
 
-// Tell asks all nodes at once, so that they learn this node's state, and waits
+// Announce asks all nodes at once, so that they learn this node's state, and waits
 // for their answers.
-func (s *Sync) Tell(ctx context.Context) {
+func (s *Sync) Announce(ctx context.Context) {
 	var calls sync.WaitGroup
 	for _, n := range s.options.Nodes.Alive(s.options.Clock()) {
 		calls.Go(func() { s.ask(ctx, targetOf(n)) })
--- a/internal/nodesync/sync_test.go
+++ b/internal/nodesync/sync_test.go
@@ -42,18 +42,18 @@
 	set := replica.NewSet()
 	random := rand.New(rand.NewPCG(1, 1))
 	n.Sync = New(Options{
-		Self:      func() Node { return Node{Name: name, PeerAddress: name + ":1", EntryAddress: name + ":2", Ready: true} },
-		Nodes:     NewNodes(name, nil),
-		Routes:    routesource.New(decodeVersion),
-		Replicas:  set,
-		Listed:    func([]replica.Change) {},
-		IdleTicks: func() int { return 1 },
-		Placer:    placement.NewPlacer("", set, random),
-		Tracker:   quarantine.NewTracker(0),
-		Limits:    ratelimit.NewTable(func() boottime.Instant { return n.now }),
-		Clock:     func() boottime.Instant { return n.now },
-		Rand:      random,
-		Log:       eventlog.New(io.Discard, name),
+		Self:              func() Node { return Node{Name: name, PeerAddress: name + ":1", EntryAddress: name + ":2", Ready: true} },
+		Nodes:             NewNodes(name, nil),
+		Routes:            routesource.New(decodeVersion),
+		Replicas:          set,
+		OnReplicaChanges:  func([]replica.Change) {},
+		IdleRoundInterval: func() int { return 1 },
+		Placer:            placement.NewPlacer("", set, random),
+		Tracker:           quarantine.NewTracker(0),
+		RateLimits:        ratelimit.NewTable(func() boottime.Instant { return n.now }),
+		Clock:             func() boottime.Instant { return n.now },
+		Rand:              random,
+		Log:               eventlog.New(io.Discard, name),
 	})
 	return n
 }
@@ -162,16 +162,16 @@
 
 func TestANodeThatDoesNotAnswerIsOutUntilItIsHeardOfAgain(t *testing.T) {
 	nodes := NewNodes("a", nil)
-	nodes.Take(Node{Name: "b", Ready: true, HeardAt: 10 * second})
-	nodes.Failed("b", 11*second)
+	nodes.Merge(Node{Name: "b", Ready: true, LastSeen: 10 * second})
+	nodes.MarkFailed("b", 11*second)
 	if len(nodes.Serving(11*second)) != 0 {
 		t.Error("it is still told to callers")
 	}
-	nodes.Take(Node{Name: "b", Ready: true, HeardAt: 10*second + 1})
+	nodes.Merge(Node{Name: "b", Ready: true, LastSeen: 10*second + 1})
 	if len(nodes.Serving(11*second)) != 0 {
 		t.Error("older news brought it back")
 	}
-	nodes.Take(Node{Name: "b", Ready: true, HeardAt: 11*second + 1})
+	nodes.Merge(Node{Name: "b", Ready: true, LastSeen: 11*second + 1})
 	if len(nodes.Serving(11*second+2)) != 1 {
 		t.Error("newer news did not bring it back")
 	}
@@ -179,9 +179,9 @@
 
 func TestALeavingNodeIsNotTold(t *testing.T) {
 	nodes := NewNodes("a", nil)
-	nodes.Take(Node{Name: "b", Ready: true, HeardAt: 10 * second})
-	nodes.Take(Node{Name: "b", Ready: false, Leaving: true, HeardAt: 10*second + 1})
-	nodes.Take(Node{Name: "b", Ready: true, HeardAt: 10 * second})
+	nodes.Merge(Node{Name: "b", Ready: true, LastSeen: 10 * second})
+	nodes.Merge(Node{Name: "b", Ready: false, Leaving: true, LastSeen: 10*second + 1})
+	nodes.Merge(Node{Name: "b", Ready: true, LastSeen: 10 * second})
 	if serving := nodes.Serving(10*second + 2); len(serving) != 0 {
 		t.Errorf("told: %v", serving)
 	}
@@ -202,7 +202,7 @@
 	if got := asked(); !got["b:1"] || !got["c:1"] || got["a:1"] {
 		t.Errorf("asked %v", got)
 	}
-	a.options.Nodes.Take(Node{Name: "b", PeerAddress: "b:1", HeardAt: a.now})
+	a.options.Nodes.Merge(Node{Name: "b", PeerAddress: "b:1", LastSeen: a.now})
 	if got := a.options.Nodes.unansweredSeeds("a:1", a.now); len(got) != 1 || got[0] != "c:1" {
 		t.Errorf("still asked as seeds: %v", got)
 	}
@@ -211,9 +211,9 @@
 func TestTheTableOfNodesIsBounded(t *testing.T) {
 	nodes := NewNodes("a", nil)
 	for i := range 2 * MaxNodes {
-		nodes.Take(Node{Name: fmt.Sprint(i), HeardAt: second})
+		nodes.Merge(Node{Name: fmt.Sprint(i), LastSeen: second})
 	}
-	if n := nodes.Count(second); n > MaxNodes+1 {
+	if n := nodes.KnownCount(second); n > MaxNodes+1 {
 		t.Errorf("%d nodes", n)
 	}
 }
@@ -236,7 +236,7 @@
 	hub := named(nodes, nodes[0].hubs(nodes[0].now)[0].Name)
 	member := memberOf(nodes, hub.options.Self().Name)
 	rounds := func(n *testNode, since time.Duration) int {
-		n.options.IdleTicks = func() int { return 4 }
+		n.options.IdleRoundInterval = func() int { return 4 }
 		n.options.Placer = placement.NewPlacer("", n.options.Replicas, n.options.Rand)
 		n.options.Placer.Choose(time.Now().Add(-since), "u", &placement.Request{})
 		due := 0
--- a/internal/nodesync/targets.go
+++ b/internal/nodesync/targets.go
@@ -35,7 +35,7 @@
 // silent draws up to most of the nodes that were not heard of lately and of the seeds
 // that have not answered.
 func (s *Sync) silent(most int, now boottime.Instant) []target {
-	silentAfter := silentAfter(s.options.Nodes.Count(now) - 1)
+	silentAfter := silentAfter(s.options.Nodes.KnownCount(now) - 1)
 	drawn := targetsOf(s.options.Nodes.draw(most, s.intN, func(r *record) bool {
 		return r.remembered(now) && !r.heardWithin(aliveFor, now) && (r.unmet || !r.heardWithin(silentAfter, now))
 	}))
--- a/internal/nodesync/turn.go
+++ b/internal/nodesync/turn.go
@@ -2,17 +2,17 @@
 
 import "galenatrestle/internal/boottime"
 
-// Turn is this node's place among the nodes that read the platform's store for the
+// StoreReaderIndex is this node's place among the nodes that read the platform's store for the
 // others: all of a small fleet, or the first hubs of the availability zones. All that
 // know the same nodes agree on the order. Others have no place of their own: zero.
-func (s *Sync) Turn() int {
+func (s *Sync) StoreReaderIndex() int {
 	now := s.options.Clock()
 	self := s.options.Self()
 	hubs := s.hubs(now)
 	switch roleOf(self, hubs) {
-	case Equal:
+	case Peer:
 		return s.turnAmongAll(self, now)
-	case Hub:
+	case PrimaryHub:
 		return turnAmongFirst(self, hubs)
 	default:
 		return 0
--- a/internal/nodesync/turn_test.go
+++ b/internal/nodesync/turn_test.go
@@ -14,8 +14,8 @@
 		t.Run(name, func(t *testing.T) {
 			turns := make(map[int]int)
 			for _, node := range fleetOf(test.nodes, test.zones) {
-				if role := node.Role(); role == Equal || role == Hub {
-					turns[node.Turn()]++
+				if role := node.Role(); role == Peer || role == PrimaryHub {
+					turns[node.StoreReaderIndex()]++
 				}
 			}
 			if len(turns) != test.readers {
--- a/internal/quotashare/exchange.go
+++ b/internal/quotashare/exchange.go
@@ -43,7 +43,7 @@
 type Exchange struct {
 	options Options
 	metrics *metrics
-	asks    *rounds.Asks[[]Report, []Grant]
+	asks    *rounds.OwnerClient[[]Report, []Grant]
 
 	ownerMu sync.Mutex
 	owner   *Owner
@@ -61,11 +61,11 @@
 		owner:   NewOwner(options.Settings),
 		holder:  NewHolder(options.Node, options.Settings),
 	}
-	e.asks = &rounds.Asks[[]Report, []Grant]{
-		Self: options.Node,
-		Own:  func(reports []Report) []Grant { return e.handle(options.Node, reports) },
-		Call: e.call,
-		Take: e.take,
+	e.asks = &rounds.OwnerClient[[]Report, []Grant]{
+		Self:           options.Node,
+		HandleLocal:    func(reports []Report) []Grant { return e.handle(options.Node, reports) },
+		Call:           e.call,
+		HandleResponse: e.take,
 	}
 	return e
 }
@@ -96,8 +96,8 @@
 func (e *Exchange) Run(ctx context.Context) {
 	defer e.asks.Wait()
 	interval := e.options.Settings.Interval
-	rounds.Rounds{
-		First: time.Duration(e.options.Rand.Int64N(int64(interval))) + 1, Interval: interval, SweepEvery: sweepInterval,
+	rounds.Loop{
+		InitialDelay: time.Duration(e.options.Rand.Int64N(int64(interval))) + 1, Interval: interval, SweepInterval: sweepInterval,
 		Step: e.step, Sweep: e.sweep,
 	}.Run(ctx)
 }
@@ -120,7 +120,7 @@
 
 func (e *Exchange) plan(now time.Time, view View, part float64) map[string][]Report {
 	needs := needsOf(view, part, e.options.Limiter.Demands(now))
-	busy := e.asks.Busy()
+	busy := e.asks.InFlight()
 	e.holderMu.Lock()
 	defer e.holderMu.Unlock()
 	plan := e.holder.Plan(now, view.Serving(), needs, busy)
--- a/internal/rounds/asks.go
+++ b/internal/rounds/asks.go
@@ -6,16 +6,16 @@
 	"sync"
 )
 
-// Asks sends requests to the nodes that own what this one needs, one at a time to
+// OwnerClient sends requests to the nodes that own what this one needs, one at a time to
 // each, and has their answers taken in. It is safe for concurrent use.
-type Asks[Request, Answer any] struct {
+type OwnerClient[Request, Answer any] struct {
 	// Self is this node's name; what it asks of itself is answered by Own at once.
-	Self string
-	Own  func(Request) Answer
+	Self        string
+	HandleLocal func(Request) Answer
 	// Call asks the node at the peer address.
 	Call func(ctx context.Context, address string, request Request) (Answer, error)
-	// Take is given the answer, or the error in its place.
-	Take func(owner string, request Request, answer Answer, err error)
+	// HandleResponse is given the answer, or the error in its place.
+	HandleResponse func(owner string, request Request, answer Answer, err error)
 
 	calls sync.WaitGroup
 
@@ -23,8 +23,8 @@
 	busy map[string]bool
 }
 
-// Busy is the owners with a call under way.
-func (a *Asks[Request, Answer]) Busy() map[string]bool {
+// InFlight is the owners with a call under way.
+func (a *OwnerClient[Request, Answer]) InFlight() map[string]bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return maps.Clone(a.busy)
@@ -32,20 +32,20 @@
 
 // Send asks the owner at the peer address, and does not wait for the answer unless
 // the owner is this node. The owner counts as busy until the answer is taken in.
-func (a *Asks[Request, Answer]) Send(ctx context.Context, owner, address string, request Request) {
+func (a *OwnerClient[Request, Answer]) Send(ctx context.Context, owner, address string, request Request) {
 	if owner == a.Self {
-		a.Take(owner, request, a.Own(request), nil)
+		a.HandleResponse(owner, request, a.HandleLocal(request), nil)
 		return
 	}
 	a.setBusy(owner, true)
 	a.calls.Go(func() {
 		defer a.setBusy(owner, false)
 		answer, err := a.Call(ctx, address, request)
-		a.Take(owner, request, answer, err)
+		a.HandleResponse(owner, request, answer, err)
 	})
 }
 
-func (a *Asks[Request, Answer]) setBusy(owner string, busy bool) {
+func (a *OwnerClient[Request, Answer]) setBusy(owner string, busy bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !busy {
@@ -59,4 +59,4 @@
 }
 
 // Wait returns once no call is under way.
-func (a *Asks[Request, Answer]) Wait() { a.calls.Wait() }
+func (a *OwnerClient[Request, Answer]) Wait() { a.calls.Wait() }
--- a/internal/rounds/asks_test.go
+++ b/internal/rounds/asks_test.go
@@ -18,9 +18,9 @@
 func TestAnOwnerIsBusyUntilItsAnswerIsTakenIn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var got []taken
-		asks := &Asks[int, int]{
-			Self: "vm-0",
-			Own:  func(n int) int { return n + 1 },
+		asks := &OwnerClient[int, int]{
+			Self:        "vm-0",
+			HandleLocal: func(n int) int { return n + 1 },
 			Call: func(_ context.Context, address string, n int) (int, error) {
 				time.Sleep(time.Second)
 				if address == "cut:1" {
@@ -29,23 +29,23 @@
 				return 10 * n, nil
 			},
 		}
-		asks.Take = func(owner string, _, answer int, err error) {
-			if owner != asks.Self && !asks.Busy()[owner] {
+		asks.HandleResponse = func(owner string, _, answer int, err error) {
+			if owner != asks.Self && !asks.InFlight()[owner] {
 				t.Errorf("%s is free before its answer is taken in", owner)
 			}
 			got = append(got, taken{owner, answer, err})
 		}
 		asks.Send(t.Context(), "vm-0", "", 4)
-		if len(got) != 1 || got[0] != (taken{owner: "vm-0", answer: 5}) || len(asks.Busy()) != 0 {
-			t.Fatalf("took %v, busy %v", got, asks.Busy())
+		if len(got) != 1 || got[0] != (taken{owner: "vm-0", answer: 5}) || len(asks.InFlight()) != 0 {
+			t.Fatalf("took %v, busy %v", got, asks.InFlight())
 		}
 		asks.Send(t.Context(), "vm-1", "peer:1", 4)
 		asks.Send(t.Context(), "vm-2", "cut:1", 4)
-		if busy := asks.Busy(); !busy["vm-1"] || !busy["vm-2"] {
+		if busy := asks.InFlight(); !busy["vm-1"] || !busy["vm-2"] {
 			t.Errorf("busy %v during the calls", busy)
 		}
 		asks.Wait()
-		if busy := asks.Busy(); len(busy) != 0 {
+		if busy := asks.InFlight(); len(busy) != 0 {
 			t.Errorf("busy %v after the calls", busy)
 		}
 		for _, one := range got[1:] {
--- a/internal/rounds/rounds_test.go
+++ b/internal/rounds/rounds_test.go
@@ -13,8 +13,8 @@
 		var steps, sweeps []time.Duration
 		ctx, cancel := context.WithTimeout(t.Context(), 1050*time.Millisecond)
 		defer cancel()
-		Rounds{
-			First: 30 * time.Millisecond, Interval: 100 * time.Millisecond, SweepEvery: 400 * time.Millisecond,
+		Loop{
+			InitialDelay: 30 * time.Millisecond, Interval: 100 * time.Millisecond, SweepInterval: 400 * time.Millisecond,
 			Step:  func(_ context.Context, now time.Time) { steps = append(steps, now.Sub(began)) },
 			Sweep: func(now time.Time) { sweeps = append(sweeps, now.Sub(began)) },
 		}.Run(ctx)
