--- a/internal/placement/ratelimits.go
+++ b/internal/placement/ratelimits.go
@@ -21,7 +21,9 @@
 	return rateLimits{permits: u.permits, limits: u.permits.Limits(), now: now}
 }
 
-func (l *rateLimits) isLimited(s *replicaState) bool { return ratelimit.IsLimited(l.limits, &s.replica) }
+func (l *rateLimits) isLimited(s *replicaState) bool {
+	return ratelimit.IsLimited(l.limits, &s.replica)
+}
 
 // allows reports whether the replica may be chosen: it is not rate limited, or a permit may be
 // requested now.
