--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -154,7 +154,7 @@
 // mayFinishInTime rejects requests, apart from probes, that are expected to finish too late even if
 // they start at once. It accepts all while no request of the same or a higher tier waits.
 func (p *Pool) mayFinishInTime(now time.Time, request *Request, class *classState) bool {
-	first := p.queue.FirstTier()
+	first := p.queue.HighestTier()
 	if p.disabled.Admission || first < 0 || first > class.Tier {
 		return true
 	}
--- a/internal/router/pool_item.go
+++ b/internal/router/pool_item.go
@@ -18,12 +18,12 @@
 
 func (p *Pool) newItem(request Request, class *classState) *item {
 	i := &item{
-		Workspace: request.Workspace,
-		Arrived:   request.Arrived,
-		Latest:    p.latestStart(&request),
-		Useless:   p.latestUsefulStart(&request),
-		Cost:      float64(request.PromptTokens) + p.answerTokens(&request, estimate.Median, defaultAnswerTokens),
-		Value:     &waitingRequest{request: request, class: class},
+		Workspace:   request.Workspace,
+		Arrived:     request.Arrived,
+		LatestStart: p.latestStart(&request),
+		ExpiresAt:   p.latestUsefulStart(&request),
+		Cost:        float64(request.PromptTokens) + p.answerTokens(&request, estimate.Median, defaultAnswerTokens),
+		Value:       &waitingRequest{request: request, class: class},
 	}
 	if p.disabled.FairShare {
 		i.Workspace = ""
--- a/internal/router/pool_progress.go
+++ b/internal/router/pool_progress.go
@@ -17,11 +17,11 @@
 	if !ok || !r.firstToken.IsZero() {
 		return
 	}
-	r.replica.circuit.Succeeded()
+	r.replica.circuit.RecordSuccess()
 	r.firstToken = now
 	r.lastToken = now
 	r.tokens = 1
-	r.replica.pace.Moved(now)
+	r.replica.pace.RecordProgress(now)
 	p.learnPrefill(&r.item.Value.request, r, now.Sub(r.boundAt))
 }
 
@@ -73,7 +73,7 @@
 	delete(p.running, id)
 	p.observeLength(now, r, result)
 	p.updateCircuit(now, r.replica, result)
-	p.queue.Ended(now, r.item, now.Sub(r.boundAt), p.totalSlots())
+	p.queue.ReleaseMinShare(now, r.item, now.Sub(r.boundAt), p.totalSlots())
 	r.item.Value.class.running--
 	r.replica.running--
 	p.deleteRemovedReplicas()
@@ -92,11 +92,11 @@
 func (p *Pool) updateCircuit(now time.Time, replica *replicaState, result Result) {
 	switch result {
 	case ResultDone:
-		replica.circuit.Succeeded()
+		replica.circuit.RecordSuccess()
 	case ResultCrashed, ResultNotRun:
-		replica.circuit.Failed(now, p.rand)
+		replica.circuit.RecordFailure(now, p.rand)
 	default:
-		replica.circuit.Undecided()
+		replica.circuit.RecordInconclusive()
 	}
 }
 
@@ -108,7 +108,7 @@
 		return next
 	}
 	for _, r := range p.orderedReplicas {
-		if at := r.circuit.ReopensAt(); at.After(now) {
+		if at := r.circuit.NextProbeAt(); at.After(now) {
 			next = earlier(next, at)
 		}
 	}
