--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -25,14 +25,15 @@
 	stepAnswer   = "answer"
 )
 
-// maxForeignResponses is the number of responses to other attempts that are
-// skipped on one connection.
+// maxForeignResponses is the number of responses to other calls that an attempt
+// skips on its connection.
 const maxForeignResponses = 2
 
 // attempt is one attempt of a call at one replica. It is not safe for concurrent use.
 type attempt struct {
-	exchange           *exchange
-	place              *placement.Attempt
+	exchange *exchange
+	// placementAttempt is placement's record of the attempt; it gets the result.
+	placementAttempt   *placement.Attempt
 	conn               *replicaconn.Conn
 	response           *http.Response
 	headers            ResponseHeaders
@@ -49,29 +50,29 @@
 // try makes one attempt. It returns nil if the complete response was forwarded.
 func (e *exchange) try() *Failure {
 	e.attempts++
-	place, failure := e.chooseReplica()
+	placementAttempt, failure := e.chooseReplica()
 	if failure != nil {
 		return failure
 	}
-	a := &attempt{exchange: e, place: place}
-	e.lastReplica = place.Replica.ID
+	a := &attempt{exchange: e, placementAttempt: placementAttempt}
+	e.lastReplicaID = placementAttempt.Replica.ID
 	listing, _ := e.forwarder.options.Replicas.Latest()
-	e.forwarder.options.Log.Write(&attemptStarted{exchange: e, place: place, revision: listing.Revision})
-	run := e.forwarder.options.CrashGuard.startRun(place.Replica, e.fingerprint)
+	e.forwarder.options.Log.Write(&attemptStarted{exchange: e, placementAttempt: placementAttempt, revision: listing.Revision})
+	run := e.forwarder.options.CrashGuard.startRun(placementAttempt.Replica, e.fingerprint)
 	failure = a.run()
-	e.forwarder.options.CrashGuard.endRun(run, place.Replica, failure)
+	e.forwarder.options.CrashGuard.endRun(run, placementAttempt.Replica, failure)
 	result := placement.Answered
 	if failure != nil {
 		result = failure.Result
-		e.avoidReplica(place)
+		e.avoidReplica(placementAttempt)
 	}
-	place.End(time.Now(), result)
+	placementAttempt.End(time.Now(), result)
 	return failure
 }
 
-func (e *exchange) avoidReplica(place *placement.Attempt) {
-	e.placementRequest.Avoid = append(e.placementRequest.Avoid, place.Replica.ID)
-	e.placementRequest.FailedZones = append(e.placementRequest.FailedZones, place.Replica.AvailabilityZone)
+func (e *exchange) avoidReplica(placementAttempt *placement.Attempt) {
+	e.placementRequest.Avoid = append(e.placementRequest.Avoid, placementAttempt.Replica.ID)
+	e.placementRequest.FailedZones = append(e.placementRequest.FailedZones, placementAttempt.Replica.AvailabilityZone)
 }
 
 // admit applies overload control to the call at the chosen replica.
@@ -84,23 +85,23 @@
 
 // refuseIfOverloaded returns a failure if overload control refuses the call.
 // Retries are always admitted.
-func (e *exchange) refuseIfOverloaded(place *placement.Attempt) *Failure {
+func (e *exchange) refuseIfOverloaded(placementAttempt *placement.Attempt) *Failure {
 	if e.attempts > 1 {
 		return nil
 	}
-	verdict := e.admit(&place.Choice)
+	verdict := e.admit(&placementAttempt.Choice)
 	if !verdict.Refused() {
 		return nil
 	}
-	place.End(time.Now(), placement.Cancelled)
-	return e.overloadFailure(place, verdict)
+	placementAttempt.End(time.Now(), placement.Cancelled)
+	return e.overloadFailure(placementAttempt, verdict)
 }
 
-func (e *exchange) overloadFailure(place *placement.Attempt, v overload.Verdict) *Failure {
-	c := &place.Choice
+func (e *exchange) overloadFailure(placementAttempt *placement.Attempt, v overload.Verdict) *Failure {
+	c := &placementAttempt.Choice
 	e.forwarder.metrics.overloadRefusals.WithLabelValues(e.call.Upstream, string(v.Reason)).Inc()
 	return &Failure{
-		Result: placement.Cancelled, NotRun: true, Step: stepChoose, Peer: place.Replica.Address, RetryAfter: v.RetryAfter,
+		Result: placement.Cancelled, NotRun: true, Step: stepChoose, Peer: placementAttempt.Replica.Address, RetryAfter: v.RetryAfter,
 		Cause: fmt.Errorf("%w (%s): %s expected at the best of %d replicas, memory used %.2f, %d requests there",
 			errOverloaded, v.Reason, c.FirstTokenTime.Round(time.Millisecond), c.Candidates, c.MemoryFraction, c.Running),
 	}
@@ -108,16 +109,16 @@
 
 func (a *attempt) run() *Failure {
 	e := a.exchange
-	replica := a.place.Replica
+	replica := a.placementAttempt.Replica
 	conn, err := e.forwarder.options.Conns.Open(e.ctx, replica.ID, replica.Address, e.call.MaxConnections)
 	if err != nil {
 		return a.connectFailure(stepConnect, err)
 	}
 	a.conn = conn
-	// The replica may have started to leave while the connection was established.
+	// The replica may have started draining while the connection was established.
 	if !e.forwarder.options.Replicas.Usable(replica.ID) {
 		conn.Close()
-		return &Failure{Result: placement.Cancelled, NotRun: true, Step: stepConnect, Peer: replica.Address, Cause: errLeaving}
+		return &Failure{Result: placement.Cancelled, NotRun: true, Step: stepConnect, Peer: replica.Address, Cause: errDraining}
 	}
 	a.stopContextClose = context.AfterFunc(e.ctx, conn.Close)
 	a.resetIdleTimer(a.firstByteTimeout())
@@ -126,10 +127,10 @@
 	return failure
 }
 
-var errLeaving = errors.New("replica is leaving and accepts no new requests")
+var errDraining = errors.New("replica is draining or no longer listed and accepts no new requests")
 
-// release returns the connection to the pool if it can be reused, else closes it.
-// reusable is false if the idle timer may still close it.
+// release returns the connection to the pool if it can be reused, and closes it
+// otherwise. reusable is false if the idle timer may still close the connection.
 func (a *attempt) release(f *Failure, reusable bool) {
 	if a.stopContextClose() && reusable && f == nil && !a.gotForeignResponse {
 		a.conn.Keep(a.response)
@@ -143,7 +144,7 @@
 	if a.exchange.ctx.Err() != nil || errors.Is(err, replicaconn.ErrTooManyConnections) {
 		result = placement.Cancelled
 	}
-	return &Failure{Result: result, NotRun: true, Step: step, Peer: a.place.Replica.Address, Cause: err}
+	return &Failure{Result: result, NotRun: true, Step: step, Peer: a.placementAttempt.Replica.Address, Cause: err}
 }
 
 func (a *attempt) sendAndReceive() *Failure {
@@ -172,11 +173,11 @@
 		Body:   c.Body,
 		Header: a.exchange.forwarder.options.Codec.EncodeAttempt(c.Header, AttemptHeaders{
 			Remaining:   time.Until(c.Deadline),
-			Replica:     a.place.Replica.ID,
+			Replica:     a.placementAttempt.Replica.ID,
 			Workspace:   c.workspace(),
 			Rank:        c.Rank,
 			LastEventID: a.exchange.lastEventID,
-			CopyFrom:    a.place.CopyFrom,
+			CopyFrom:    a.placementAttempt.CopyFrom,
 		}),
 	}
 }
@@ -200,7 +201,7 @@
 			return a.failedAt(stepReadHead, err)
 		}
 	}
-	return a.failedAt(stepReadHead, fmt.Errorf("response is for attempt %q", a.headers.ID))
+	return a.failedAt(stepReadHead, fmt.Errorf("no response to this call received: the last one is for call %q", a.headers.ID))
 }
 
 func (a *attempt) updateRateLimit() {
@@ -210,7 +211,7 @@
 		return
 	}
 	limit, changed := f.options.RateLimits.Answered(ratelimit.Answer{
-		Replica: a.place.Replica, Limited: a.headers.RateLimited, PerSecond: a.headers.RateLimit,
+		Replica: a.placementAttempt.Replica, Limited: a.headers.RateLimited, PerSecond: a.headers.RateLimit,
 		Succeeded: a.headers.Stamped && a.response.StatusCode < http.StatusMultipleChoices,
 		SentAt:    a.sentAt, At: f.options.RateLimits.Now(),
 	})
@@ -220,7 +221,7 @@
 }
 
 // isNotExecuted reports whether the replica rejected the request without running
-// it. Such a response may lack the attempt's ID.
+// it. Such a response may lack the call's ID.
 func isNotExecuted(r *http.Response, h ResponseHeaders) bool {
 	return h.NotExecuted || r.StatusCode == http.StatusMisdirectedRequest
 }
@@ -233,7 +234,7 @@
 		ReachedReplica: a.conn.Sent(),
 		NotRun:         !a.conn.Sent(),
 		Step:           step,
-		Peer:           a.place.Replica.Address,
+		Peer:           a.placementAttempt.Replica.Address,
 		Cause:          cause,
 	}
 	if f.ReachedReplica && !a.exchange.call.Route.Streaming {
@@ -270,7 +271,7 @@
 		}
 		return a.forwardResponse()
 	default:
-		return a.readReplicaFailure()
+		return a.readErrorResponse()
 	}
 }
 
@@ -280,12 +281,12 @@
 		result = placement.Replaced
 	}
 	return &Failure{
-		Result: result, NotRun: true, ReachedReplica: true, Step: stepAnswer, Peer: a.place.Replica.Address,
+		Result: result, NotRun: true, ReachedReplica: true, Step: stepAnswer, Peer: a.placementAttempt.Replica.Address,
 		Cause: fmt.Errorf("replica did not execute the call: status %d", a.response.StatusCode),
 	}
 }
 
-func (a *attempt) readReplicaFailure() *Failure {
+func (a *attempt) readErrorResponse() *Failure {
 	body, complete, err := readBounded(a.response.Body)
 	if err == nil && !complete {
 		err = errResponseTooLong
@@ -293,10 +294,10 @@
 	if err != nil {
 		return a.failedAt(stepReadBody, err)
 	}
-	a.place.ErrorReceived(time.Now())
+	a.placementAttempt.ErrorReceived(time.Now())
 	a.exchange.countRun()
 	return &Failure{
-		Result: placement.Errored, ReachedReplica: true, Step: stepAnswer, Peer: a.place.Replica.Address,
+		Result: placement.Errored, ReachedReplica: true, Step: stepAnswer, Peer: a.placementAttempt.Replica.Address,
 		Status: a.response.StatusCode, Header: a.response.Header, Body: body,
 	}
 }
--- a/internal/forward/codec.go
+++ b/internal/forward/codec.go
@@ -11,8 +11,8 @@
 type Codec interface {
 	// DecodeCaller decodes the headers of a caller's request.
 	DecodeCaller(h http.Header) CallerHeaders
-	// EncodeAttempt returns the request headers for a replica: the caller's, except
-	// hop-by-hop headers and those reserved for this system, plus those of a.
+	// EncodeAttempt returns the request headers for a replica: the caller's headers,
+	// except hop-by-hop ones and those reserved for this system, and the headers in a.
 	EncodeAttempt(caller http.Header, a AttemptHeaders) http.Header
 	// DecodeResponse decodes the headers of a replica's response.
 	DecodeResponse(h http.Header) ResponseHeaders
@@ -66,9 +66,11 @@
 
 // ResponseHeaders are the decoded headers of a replica's response.
 type ResponseHeaders struct {
-	// ID identifies the attempt that the response is for; empty if not given.
+	// ID is the CallerHeaders.ID of the call that the response is for; empty if not
+	// given.
 	ID string
-	// Stamped is true if the response has the replica's stamp.
+	// Stamped is true if the response has the replica's stamp, a header with which
+	// replicas mark their own responses.
 	Stamped bool
 	// NotExecuted is true if the replica reports that it did not run the call.
 	NotExecuted bool
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -48,9 +48,9 @@
 		"request":      e.call.ID,
 		"route":        e.call.Route.Name,
 		"upstream":     e.call.Upstream,
-		"replica":      e.lastReplica,
+		"replica":      e.lastReplicaID,
 		"attempts":     e.attempts,
-		"may_have_run": e.mayHaveRun,
+		"may_have_run": e.possibleRuns,
 		"left_ms":      time.Until(e.call.Deadline).Milliseconds(),
 	}
 }
@@ -118,9 +118,9 @@
 
 // attemptStarted is logged with the chosen replica and the inputs of the choice.
 type attemptStarted struct {
-	exchange *exchange
-	place    *placement.Attempt
-	revision int64
+	exchange         *exchange
+	placementAttempt *placement.Attempt
+	revision         int64
 }
 
 func (*attemptStarted) Name() string { return "attempt_started" }
@@ -128,15 +128,15 @@
 func (*attemptStarted) Level() eventlog.Level { return eventlog.Routine }
 
 func (ev *attemptStarted) Fields() eventlog.Fields {
-	c := ev.place.Choice
+	c := ev.placementAttempt.Choice
 	fields := eventlog.Fields{
 		"request": ev.exchange.call.ID, "route": ev.exchange.call.Route.Name, "upstream": ev.exchange.call.Upstream,
-		"replica": ev.place.Replica.ID, "peer": ev.place.Replica.Address, "attempt": ev.exchange.attempts,
+		"replica": ev.placementAttempt.Replica.ID, "peer": ev.placementAttempt.Replica.Address, "attempt": ev.exchange.attempts,
 		"rank": ev.exchange.call.Rank, "workspace": ev.exchange.call.workspace(),
-		"cost_ms": int(c.Cost), "wait_ms": c.FirstTokenTime.Milliseconds(), "memory_used": roundHundredths(c.MemoryFraction), "among": c.Candidates, "running": c.Running, "to_read": c.PendingPrefill, "ahead": c.PrefillAhead,
-		"cached": c.CachedTokens, "copy_from": ev.place.CopyFrom, "failures": roundHundredths(c.FailureScore), "read_speed": roundHundredths(c.PrefillSpeed), "replicas_revision": ev.revision,
+		"cost_ms": int(c.Cost), "wait_ms": c.FirstTokenTime.Milliseconds(), "memory_used": roundToHundredths(c.MemoryFraction), "among": c.Candidates, "running": c.Running, "to_read": c.PendingPrefill, "ahead": c.PrefillAhead,
+		"cached": c.CachedTokens, "copy_from": ev.placementAttempt.CopyFrom, "failures": roundToHundredths(c.FailureScore), "read_speed": roundToHundredths(c.PrefillSpeed), "replicas_revision": ev.revision,
 	}
-	if limit, limited := ev.exchange.forwarder.options.RateLimits.InForce()[ev.place.Replica.ID]; limited {
+	if limit, limited := ev.exchange.forwarder.options.RateLimits.InForce()[ev.placementAttempt.Replica.ID]; limited {
 		fields["rate_limit"] = limit.PerSecond
 	}
 	return fields
@@ -170,4 +170,4 @@
 	return fields
 }
 
-func roundHundredths(x float64) float64 { return math.Round(x*100) / 100 }
+func roundToHundredths(x float64) float64 { return math.Round(x*100) / 100 }
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -32,11 +32,12 @@
 	placementRequest placement.Request
 	fingerprint      quarantine.Fingerprint
 
-	// attempts counts all attempts, arrivals those that reached a replica, and
-	// mayHaveRun those that are not known not to have run.
-	attempts   int
-	arrivals   int
-	mayHaveRun int
+	// attempts counts all attempts. Of the failed ones, sentAttempts counts those
+	// whose request was sent to a replica, and possibleRuns those in which the
+	// replica may have run the call.
+	attempts     int
+	sentAttempts int
+	possibleRuns int
 	// budgetCounted is set once the retry budget has counted the call.
 	budgetCounted bool
 	lastEventID   string
@@ -44,12 +45,12 @@
 	// runCounted is set once Options.OnRun was called.
 	runCounted bool
 	// firstByteAt is when the response started, lastEventsAt when the newest events
-	// arrived, longestPause the longest time between events, and lastReplica the
+	// arrived, longestPause the longest time between events, and lastReplicaID the
 	// replica of the last attempt.
-	firstByteAt  time.Time
-	lastEventsAt time.Time
-	longestPause time.Duration
-	lastReplica  string
+	firstByteAt   time.Time
+	lastEventsAt  time.Time
+	longestPause  time.Duration
+	lastReplicaID string
 }
 
 // errOverloaded means that overload control refused the call before any attempt.
@@ -76,10 +77,10 @@
 
 func (e *exchange) recordFailure(f *Failure) {
 	if f.ReachedReplica {
-		e.arrivals++
+		e.sentAttempts++
 	}
 	if !f.NotRun {
-		e.mayHaveRun++
+		e.possibleRuns++
 	}
 	e.forwarder.options.Log.Write(&attemptFailed{exchange: e, failure: f})
 }
@@ -88,7 +89,7 @@
 // retry must be available in the retry budget.
 func (e *exchange) decideRetry(f *Failure) bool {
 	reason := e.retryStopReason(f)
-	if reason == "" && e.arrivals > 0 && !f.RetryReserved && !e.forwarder.options.Budget.Take(time.Now(), e.call.Upstream) {
+	if reason == "" && e.sentAttempts > 0 && !f.RetryReserved && !e.forwarder.options.Budget.Take(time.Now(), e.call.Upstream) {
 		reason = noBudget
 	}
 	e.forwarder.metrics.recordRetryDecision(f, reason)
@@ -109,7 +110,7 @@
 func (e *exchange) retryStopReason(f *Failure) stopReason {
 	switch {
 	case e.callerCtx.Err() != nil:
-		return callerLeft
+		return callerGone
 	case e.ctx.Err() != nil:
 		return deadlinePassed
 	case errors.Is(f, errNoReplica):
@@ -119,14 +120,14 @@
 	case errors.Is(f, errOverloaded):
 		return overloaded
 	case e.callerResponse.hasStarted() && e.call.Route.Repeat != route.ResumableStream:
-		return answerBegun
-	case e.attempts-e.mayHaveRun >= maxNotRunAttempts:
+		return responseStarted
+	case e.attempts-e.possibleRuns >= maxNotRunAttempts:
 		return tooManyRefusals
-	case f.NotRun && e.mayHaveRun == 0:
+	case f.NotRun && e.possibleRuns == 0:
 		return ""
 	case !e.call.Route.MayRunAgain():
 		return mayHaveRun
-	case e.mayHaveRun >= e.call.Route.MaxAttempts:
+	case e.possibleRuns >= e.call.Route.MaxAttempts:
 		return attemptsUsed
 	case f.Status >= http.StatusBadRequest && f.Status < http.StatusInternalServerError && !f.NotRun:
 		return rejectedByReplica
@@ -144,7 +145,7 @@
 	case f.Status != 0 && !f.NotRun:
 		e.callerResponse.writeReplicaFailure(f)
 		return EndedReplicaFailure
-	case e.mayHaveRun == 0:
+	case e.possibleRuns == 0:
 		e.callerResponse.writeNotRun(retryAfter(f))
 		return EndedRefused
 	case e.ctx.Err() != nil:
--- a/internal/forward/failure.go
+++ b/internal/forward/failure.go
@@ -18,8 +18,9 @@
 	ReachedReplica bool
 	// RetryReserved is true if a retry was already taken from the retry budget.
 	RetryReserved bool
-	// Step and Peer identify the processing step and the replica's address.
+	// Step is the processing step that failed.
 	Step string
+	// Peer is the replica's address, or the upstream's name if no replica was chosen.
 	Peer string
 	// Status, Header and Body are the replica's error response, forwarded if no retry
 	// follows; Status is zero if there was none.
@@ -32,7 +33,6 @@
 	RetryAfter time.Duration
 }
 
-// Error implements error.
 func (f *Failure) Error() string {
 	if f.Cause == nil {
 		return fmt.Sprintf("%s at %s: status %d", f.Step, f.Peer, f.Status)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -19,7 +19,8 @@
 
 const upstream = "ledger"
 
-// call returns a call with the repeat rule and a deadline in one second.
+// call returns a call with a deadline in one second, on a route with the given repeat
+// kind and maximum number of attempts.
 func call(repeat route.Repeat, attempts int) *forward.Call {
 	now := time.Now()
 	return &forward.Call{
@@ -183,8 +184,8 @@
 	}
 }
 
-// Guards against calls run by a replica that took over another one's address. It
-// answers 421 once and is not tried again until it is registered.
+// Guards against calls run by a replica that took over another one's address. Such a
+// replica answers 421 once and gets no more calls until it is registered.
 func TestReplicaAtReusedAddressRunsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ran := make(map[string]int)
@@ -210,8 +211,8 @@
 		if ran["i-new"] != 0 || ran["i-1"] != 20 {
 			t.Errorf("runs: %v", ran)
 		}
-		if asked := len(list[0].Requests()); asked > 1 {
-			t.Errorf("replaced replica got %d requests, want at most 1", asked)
+		if received := len(list[0].Requests()); received > 1 {
+			t.Errorf("replaced replica got %d requests, want at most 1", received)
 		}
 	})
 }
@@ -295,12 +296,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := forwardtest.NewFleet(t, replicas(answerOK, answerOK)...)
 		serve(t, f, call(route.AtMostOnce, 1))
-		silent := forwardtest.NewFleet(t, replicas(neverAnswer)...)
-		serve(t, silent, call(route.AtMostOnce, 1))
+		unresponsive := forwardtest.NewFleet(t, replicas(neverAnswer)...)
+		serve(t, unresponsive, call(route.AtMostOnce, 1))
 		for name, test := range map[string]struct {
 			fleet *forwardtest.Fleet
 			want  uint64
-		}{"answered": {f, 1}, "silent": {silent, 0}} {
+		}{"answered": {f, 1}, "silent": {unresponsive, 0}} {
 			if got := histogramCount(t, test.fleet, "trestle_first_byte_seconds"); got != test.want {
 				t.Errorf("%s: %d first-byte observations, want %d", name, got, test.want)
 			}
@@ -337,7 +338,7 @@
 	})
 }
 
-func TestSilentReplicaIsAbandonedForRetryableCall(t *testing.T) {
+func TestUnresponsiveReplicaIsAbandonedForRetryableCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := replicas(neverAnswer, answerOK)
 		began := time.Now()
@@ -351,7 +352,7 @@
 	})
 }
 
-func TestSilentReplicaIsKeptWithoutRetryBudget(t *testing.T) {
+func TestUnresponsiveReplicaIsKeptWithoutRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := replicas(func(c *forwardtest.Conn) bool {
 			time.Sleep(700 * time.Millisecond)
@@ -375,8 +376,8 @@
 			ended <- time.Now()
 			return false
 		})
-		ctx, leave := context.WithCancel(t.Context())
-		time.AfterFunc(100*time.Millisecond, leave)
+		ctx, cancel := context.WithCancel(t.Context())
+		time.AfterFunc(100*time.Millisecond, cancel)
 		began := time.Now()
 		ending := forwardtest.NewFleet(t, list...).Serve(ctx, httptest.NewRecorder(), call(route.AtMostOnce, 1))
 		if at := <-ended; ending != forward.EndedCallerGone || at.Sub(began) != 100*time.Millisecond {
--- a/internal/forward/forwardtest/codec.go
+++ b/internal/forward/forwardtest/codec.go
@@ -25,7 +25,6 @@
 // Codec implements forward.Codec.
 type Codec struct{}
 
-// DecodeCaller implements forward.Codec.
 func (Codec) DecodeCaller(h http.Header) forward.CallerHeaders {
 	c := forward.CallerHeaders{ID: h.Get(HeaderID), Key: h.Get(HeaderKey), LastEventID: h.Get(HeaderLastEvent)}
 	if ms, err := strconv.Atoi(h.Get(HeaderTimeout)); err == nil {
@@ -34,7 +33,6 @@
 	return c
 }
 
-// EncodeAttempt implements forward.Codec.
 func (Codec) EncodeAttempt(caller http.Header, a forward.AttemptHeaders) http.Header {
 	h := caller.Clone()
 	h.Del(HeaderKey)
@@ -47,17 +45,15 @@
 	return h
 }
 
-// DecodeResponse implements forward.Codec.
 func (Codec) DecodeResponse(h http.Header) forward.ResponseHeaders {
-	a := forward.ResponseHeaders{
+	r := forward.ResponseHeaders{
 		ID: h.Get(HeaderID), Stamped: h.Get(HeaderStamp) != "",
 		NotExecuted: h.Get(HeaderNotExecuted) != "", Encoded: h.Get("Content-Encoding") != "",
 	}
 	if perSecond, err := strconv.ParseFloat(h.Get(HeaderRateLimit), 64); err == nil {
-		a.RateLimit, a.RateLimited = perSecond, true
+		r.RateLimit, r.RateLimited = perSecond, true
 	}
-	return a
+	return r
 }
 
-// RemoveStamp implements forward.Codec.
 func (Codec) RemoveStamp(h http.Header) { h.Del(HeaderStamp) }
--- a/internal/forward/forwardtest/fleet.go
+++ b/internal/forward/forwardtest/fleet.go
@@ -30,9 +30,7 @@
 	Conns   *replicaconn.Pool
 	Budget  *retrybudget.Budget
 	Tracker *quarantine.Tracker
-	// Permits are the rate-limit permits of this node.
 	Permits *ratelimit.Permits
-	// Metrics is the registry of the forwarder's metrics.
 	Metrics *prometheus.Registry
 	// OnDial is called before each new connection; may be nil.
 	OnDial func(address string)
--- a/internal/forward/forwardtest/replica.go
+++ b/internal/forward/forwardtest/replica.go
@@ -137,11 +137,11 @@
 	if r.down {
 		return nil, false
 	}
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	r.connections++
-	r.openConns = append(r.openConns, far)
-	go r.serve(far)
-	return near, true
+	r.openConns = append(r.openConns, serverConn)
+	go r.serve(serverConn)
+	return clientConn, true
 }
 
 func (r *Replica) serve(conn net.Conn) {
--- a/internal/forward/outlet.go
+++ b/internal/forward/outlet.go
@@ -24,18 +24,18 @@
 }
 
 func newCallerResponse(w http.ResponseWriter, codec Codec, c *Call) *callerResponse {
-	o := &callerResponse{w: w, control: http.NewResponseController(w), codec: codec}
+	cr := &callerResponse{w: w, control: http.NewResponseController(w), codec: codec}
 	// Prevents a caller that does not read from occupying a replica indefinitely.
 	// The error is ignored: test writers do not support deadlines.
-	_ = o.control.SetWriteDeadline(c.Deadline.Add(writeGrace))
-	return o
+	_ = cr.control.SetWriteDeadline(c.Deadline.Add(writeGrace))
+	return cr
 }
 
 // close removes the write deadline, so that the connection's next request can set
 // its own.
-func (o *callerResponse) close() { _ = o.control.SetWriteDeadline(time.Time{}) }
+func (cr *callerResponse) close() { _ = cr.control.SetWriteDeadline(time.Time{}) }
 
-func (o *callerResponse) hasStarted() bool { return o.started }
+func (cr *callerResponse) hasStarted() bool { return cr.started }
 
 // HopByHopHeaders apply to a single connection and are not forwarded in either
 // direction.
@@ -46,19 +46,20 @@
 
 // writeHead writes the status and headers of a replica's response. A negative
 // length means that it is unknown.
-func (o *callerResponse) writeHead(r *http.Response, length int64) {
-	o.copyHeader(r.Header)
+func (cr *callerResponse) writeHead(r *http.Response, length int64) {
+	cr.copyHeader(r.Header)
 	if length >= 0 {
-		o.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
+		cr.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	o.started = true
-	o.w.WriteHeader(r.StatusCode)
+	cr.started = true
+	cr.w.WriteHeader(r.StatusCode)
 }
 
 // copyHeader copies all headers except Content-Length and the hop-by-hop ones.
-// Headers already set for the caller's connection remain.
-func (o *callerResponse) copyHeader(from http.Header) {
-	to := o.w.Header()
+// Headers already set on the caller's response remain unless the replica sent the
+// same ones.
+func (cr *callerResponse) copyHeader(from http.Header) {
+	to := cr.w.Header()
 	for name, values := range from {
 		if name != "Content-Length" && !slices.Contains(HopByHopHeaders, name) {
 			to[name] = values
@@ -66,43 +67,43 @@
 	}
 }
 
-func (o *callerResponse) write(data []byte) error {
+func (cr *callerResponse) write(data []byte) error {
 	if len(data) == 0 {
 		return nil
 	}
-	o.bytes += int64(len(data))
-	_, err := o.w.Write(data)
+	cr.bytes += int64(len(data))
+	_, err := cr.w.Write(data)
 	return err
 }
 
-func (o *callerResponse) writeAndFlush(data []byte) error {
-	if err := o.write(data); err != nil {
+func (cr *callerResponse) writeAndFlush(data []byte) error {
+	if err := cr.write(data); err != nil {
 		return err
 	}
-	return o.control.Flush()
+	return cr.control.Flush()
 }
 
-func (o *callerResponse) writeComplete(r *http.Response, body []byte) error {
-	o.writeHead(r, int64(len(body)))
-	return o.write(body)
+func (cr *callerResponse) writeComplete(r *http.Response, body []byte) error {
+	cr.writeHead(r, int64(len(body)))
+	return cr.write(body)
 }
 
 // writeReplicaFailure forwards a replica's error response. A status that callers
 // read as "not run" is replaced by 502, because the call did run.
-func (o *callerResponse) writeReplicaFailure(f *Failure) {
+func (cr *callerResponse) writeReplicaFailure(f *Failure) {
 	header := f.Header.Clone()
 	status := f.Status
 	if impliesNotRun(status) {
 		status = http.StatusBadGateway
-		o.codec.RemoveStamp(header)
+		cr.codec.RemoveStamp(header)
 		header.Del("Retry-After")
 	}
-	o.copyHeader(header)
-	o.w.Header().Set("Content-Length", strconv.Itoa(len(f.Body)))
-	o.started = true
-	o.w.WriteHeader(status)
+	cr.copyHeader(header)
+	cr.w.Header().Set("Content-Length", strconv.Itoa(len(f.Body)))
+	cr.started = true
+	cr.w.WriteHeader(status)
 	// A write fails only if the caller disconnected, which ends the call anyway.
-	_ = o.write(f.Body)
+	_ = cr.write(f.Body)
 }
 
 // impliesNotRun reports whether callers read the status as "the call did not run".
@@ -116,15 +117,15 @@
 }
 
 // writeNotRun reports to the caller that the call did not run and when to retry.
-func (o *callerResponse) writeNotRun(after time.Duration) {
-	o.w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
-	o.writeStatus(http.StatusServiceUnavailable)
+func (cr *callerResponse) writeNotRun(delay time.Duration) {
+	cr.w.Header().Set("Retry-After", strconv.FormatFloat(delay.Seconds(), 'f', -1, 64))
+	cr.writeStatus(http.StatusServiceUnavailable)
 }
 
-func (o *callerResponse) writeStatus(code int) {
-	o.started = true
-	o.w.Header().Set("Content-Length", "0")
-	o.w.WriteHeader(code)
+func (cr *callerResponse) writeStatus(code int) {
+	cr.started = true
+	cr.w.Header().Set("Content-Length", "0")
+	cr.w.WriteHeader(code)
 }
 
 // errCallerGone means that the caller disconnected or a write to it failed.
@@ -136,7 +137,7 @@
 		return nil
 	}
 	return &Failure{
-		Result: placement.Cancelled, ReachedReplica: true, Step: "write_to_caller", Peer: a.place.Replica.Address,
+		Result: placement.Cancelled, ReachedReplica: true, Step: "write_to_caller", Peer: a.placementAttempt.Replica.Address,
 		Cause: errors.Join(errCallerGone, err),
 	}
 }
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -10,8 +10,8 @@
 	"galenatrestle/internal/placement"
 )
 
-// maxPermitWait limits the time that a call spends on acquiring permits, enough for
-// some calls between nodes.
+// maxPermitWait limits the time spent on acquiring permits for one attempt. It
+// allows several requests to the nodes that issue permits.
 const maxPermitWait = 100 * time.Millisecond
 
 var errNoReplica = errors.New("no replica accepts new requests")
@@ -24,30 +24,30 @@
 	permitDeadline := time.Now().Add(maxPermitWait)
 	e.placementRequest.ExcludeRateLimited = false
 	for {
-		place := e.forwarder.options.Placer.Choose(time.Now(), e.call.Upstream, &e.placementRequest)
-		if place == nil {
+		placementAttempt := e.forwarder.options.Placer.Choose(time.Now(), e.call.Upstream, &e.placementRequest)
+		if placementAttempt == nil {
 			return nil, e.noReplicaFailure()
 		}
-		if failure := e.refuseIfOverloaded(place); failure != nil {
+		if failure := e.refuseIfOverloaded(placementAttempt); failure != nil {
 			return nil, failure
 		}
-		if !place.NeedsPermit || e.acquirePermit(place, permitDeadline) {
-			return place, nil
+		if !placementAttempt.NeedsPermit || e.acquirePermit(placementAttempt, permitDeadline) {
+			return placementAttempt, nil
 		}
-		place.End(time.Now(), placement.Cancelled)
+		placementAttempt.End(time.Now(), placement.Cancelled)
 		e.placementRequest.ExcludeRateLimited = time.Now().After(permitDeadline)
 	}
 }
 
-func (e *exchange) acquirePermit(place *placement.Attempt, deadline time.Time) bool {
+func (e *exchange) acquirePermit(placementAttempt *placement.Attempt, deadline time.Time) bool {
 	ctx, cancel := context.WithDeadline(e.ctx, deadline)
 	defer cancel()
-	asked := e.forwarder.options.Permits.Acquire(ctx, time.Now(), &place.Replica)
-	e.forwarder.options.Log.Write(&permitAsked{exchange: e, replica: place.Replica.ID, asked: asked})
+	asked := e.forwarder.options.Permits.Acquire(ctx, time.Now(), &placementAttempt.Replica)
+	e.forwarder.options.Log.Write(&permitAsked{exchange: e, replica: placementAttempt.Replica.ID, asked: asked})
 	if !asked.Given() {
 		return false
 	}
-	place.PermitGranted(time.Now())
+	placementAttempt.PermitGranted(time.Now())
 	return true
 }
 
--- a/internal/forward/place_test.go
+++ b/internal/forward/place_test.go
@@ -16,7 +16,7 @@
 	"galenatrestle/internal/route"
 )
 
-func answerWithRate(c *forwardtest.Conn) bool {
+func answerWithRateLimit(c *forwardtest.Conn) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: c1\r\n%s: s1\r\n%s: 1.5\r\nContent-Length: 4\r\n\r\ndone",
 		forwardtest.HeaderID, forwardtest.HeaderStamp, forwardtest.HeaderRateLimit)
 	return err == nil
@@ -24,14 +24,14 @@
 
 // fakeIssuer grants or refuses permits and counts the requests for them.
 type fakeIssuer struct {
-	given          bool
+	grants         bool
 	err            error
 	permitRequests int
 }
 
-func (a *fakeIssuer) ask(_ context.Context, l ratelimit.Limit) (ratelimit.Grant, error) {
-	a.permitRequests++
-	return ratelimit.Grant{Given: a.given, RetryAfter: 800 * time.Millisecond}, a.err
+func (f *fakeIssuer) ask(_ context.Context, l ratelimit.Limit) (ratelimit.Grant, error) {
+	f.permitRequests++
+	return ratelimit.Grant{Given: f.grants, RetryAfter: 800 * time.Millisecond}, f.err
 }
 
 func TestRateLimitedReplicaNeedsPermit(t *testing.T) {
@@ -39,13 +39,13 @@
 		issuer fakeIssuer
 		runs   int
 	}{
-		"given":      {fakeIssuer{given: true}, 4},
+		"given":      {fakeIssuer{grants: true}, 4},
 		"refused":    {fakeIssuer{}, 1},
 		"unanswered": {fakeIssuer{err: errors.New("no answer")}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				list := replicas(answerWithRate)
+				list := replicas(answerWithRateLimit)
 				f := forwardtest.NewFleet(t, list...)
 				f.Permits.SetAsk(test.issuer.ask)
 				serve(t, f, call(route.AtMostOnce, 1))
@@ -72,7 +72,7 @@
 
 func TestOtherReplicaIsChosenWithoutPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list := replicas(answerWithRate, answerOK)
+		list := replicas(answerWithRateLimit, answerOK)
 		f := forwardtest.NewFleet(t, list...)
 		var issuer fakeIssuer
 		f.Permits.SetAsk(issuer.ask)
@@ -82,7 +82,7 @@
 			}
 		}
 		limited := list[0]
-		if _, is := f.Permits.Limits()[limited.ID]; !is {
+		if _, found := f.Permits.Limits()[limited.ID]; !found {
 			limited = list[1]
 		}
 		if got := len(limited.Requests()); got != 1 {
@@ -94,7 +94,7 @@
 // Guards against calls that wait for a permit issuer that does not respond.
 func TestPermitWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list := replicas(answerWithRate, answerWithRate, answerWithRate, answerOK)
+		list := replicas(answerWithRateLimit, answerWithRateLimit, answerWithRateLimit, answerOK)
 		f := forwardtest.NewFleet(t, list...)
 		f.Permits.SetAsk(func(ctx context.Context, _ ratelimit.Limit) (ratelimit.Grant, error) {
 			<-ctx.Done()
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -17,16 +17,17 @@
 
 // firstByteTimeout returns how long to wait for the first byte; zero means until
 // the deadline. The timeout applies only if the call may run again and has an
-// attempt left: otherwise the pending response is the only one that can arrive.
+// attempt left: otherwise the pending response is the only one that can arrive. A
+// resumed stream has the event timeout instead.
 func (a *attempt) firstByteTimeout() time.Duration {
 	e := a.exchange
 	if e.callerResponse.hasStarted() {
 		return a.eventTimeout()
 	}
-	if !e.call.Route.MayRunAgain() || e.mayHaveRun+1 >= e.call.Route.MaxAttempts {
+	if !e.call.Route.MayRunAgain() || e.possibleRuns+1 >= e.call.Route.MaxAttempts {
 		return 0
 	}
-	return max(e.call.Route.Objective, minFirstByteTimeout) + expectedWaitFactor*a.place.Choice.FirstTokenTime
+	return max(e.call.Route.Objective, minFirstByteTimeout) + expectedWaitFactor*a.placementAttempt.Choice.FirstTokenTime
 }
 
 // eventTimeout returns how long to wait for a stream's next event; zero means
--- a/internal/forward/stopreason.go
+++ b/internal/forward/stopreason.go
@@ -1,16 +1,16 @@
 package forward
 
-// stopReason says why a failed attempt is not retried. It is a label value in logs
-// and metrics.
+// stopReason says why a failed attempt is not retried. It is a field value in
+// logs and a label value in metrics.
 type stopReason string
 
 const (
-	callerLeft        stopReason = "caller_left"
+	callerGone        stopReason = "caller_left"
 	deadlinePassed    stopReason = "deadline_passed"
 	noReplica         stopReason = "no_replica"
 	overloaded        stopReason = "overloaded"
 	rateLimited       stopReason = "rate_limited"
-	answerBegun       stopReason = "answer_begun"
+	responseStarted   stopReason = "answer_begun"
 	tooManyRefusals   stopReason = "too_many_refusals"
 	mayHaveRun        stopReason = "may_have_run"
 	attemptsUsed      stopReason = "attempts_used"
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -63,7 +63,7 @@
 		a.recordFirstByte()
 		e.callerResponse.writeHead(a.response, -1)
 	} else {
-		a.place.DataReceived(time.Now())
+		a.placementAttempt.DataReceived(time.Now())
 	}
 	e.recordEvents(time.Now())
 	a.resetIdleTimer(a.eventTimeout())
@@ -85,7 +85,7 @@
 
 func (a *attempt) recordFirstByte() {
 	now := time.Now()
-	a.place.AnswerStarted(now)
+	a.placementAttempt.AnswerStarted(now)
 	a.exchange.countRun()
 	if a.exchange.firstByteAt.IsZero() {
 		a.exchange.firstByteAt = now
@@ -127,5 +127,5 @@
 
 // mayResume reports whether another replica may resume the stream.
 func (e *exchange) mayResume() bool {
-	return e.call.Route.Repeat == route.ResumableStream && e.mayHaveRun+1 < e.call.Route.MaxAttempts
+	return e.call.Route.Repeat == route.ResumableStream && e.possibleRuns+1 < e.call.Route.MaxAttempts
 }
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -11,7 +11,8 @@
 	"galenatrestle/internal/route"
 )
 
-// events writes the chunks, and ends the stream if complete is set.
+// events returns a script that writes the chunks, and ends the stream if complete is
+// set.
 func events(complete bool, chunks ...string) forwardtest.Script {
 	return func(c *forwardtest.Conn) bool {
 		if c.StartStream() != nil {
@@ -72,7 +73,7 @@
 	})
 }
 
-func TestStreamRetriedBeforeFirstEventHasOneHead(t *testing.T) {
+func TestStreamRetriedBeforeFirstEventSendsHeadersOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := replicas(events(false), events(true, event1))
 		w, ending := serve(t, forwardtest.NewFleet(t, list...), call(route.ResumableStream, 2))
@@ -92,21 +93,22 @@
 			}
 			return c.WriteChunk("") == nil
 		})
-		w := &flushRecorder{began: time.Now(), header: make(http.Header)}
+		w := &flushRecorder{start: time.Now(), header: make(http.Header)}
 		forwardtest.NewFleet(t, list...).Serve(t.Context(), w, call(route.ResumableStream, 1))
-		if len(w.at) != 3 || w.at[0] != 0 || w.at[2] != 100*time.Millisecond {
-			t.Errorf("events flushed after %v", w.at)
+		if len(w.flushedAfter) != 3 || w.flushedAfter[0] != 0 || w.flushedAfter[2] != 100*time.Millisecond {
+			t.Errorf("events flushed after %v", w.flushedAfter)
 		}
 	})
 }
 
+// flushRecorder records the time from start to each flush.
 type flushRecorder struct {
-	began  time.Time
-	header http.Header
-	at     []time.Duration
+	start        time.Time
+	header       http.Header
+	flushedAfter []time.Duration
 }
 
 func (f *flushRecorder) Header() http.Header         { return f.header }
 func (f *flushRecorder) WriteHeader(int)             {}
 func (f *flushRecorder) Write(p []byte) (int, error) { return len(p), nil }
-func (f *flushRecorder) Flush()                      { f.at = append(f.at, time.Since(f.began)) }
+func (f *flushRecorder) Flush()                      { f.flushedAfter = append(f.flushedAfter, time.Since(f.start)) }
--- a/internal/refusal/outcome.go
+++ b/internal/refusal/outcome.go
@@ -4,8 +4,8 @@
 type Outcome string
 
 const (
-	// NotRun is used only if no upstream that may have run the request received
-	// any byte of it.
+	// NotRun is used only if every upstream that received any byte of the request
+	// is known not to have run it.
 	NotRun Outcome = "not-run"
 	// Unknown is used whenever NotRun cannot be proved.
 	Unknown Outcome = "unknown"
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -20,10 +20,10 @@
 const (
 	// windowCells is the number of cells that make up a window.
 	windowCells = 10
-	// safetyMargin is the fraction of the limit that nodes use. The rest covers
+	// usableFraction is the fraction of the limit that nodes use. The rest covers
 	// restarted nodes, which spend their share again, and windows whose edges
 	// differ between nodes.
-	safetyMargin = 0.75
+	usableFraction = 0.75
 )
 
 // Budget is one node's share of the retry limit. It is safe for concurrent use.
@@ -34,7 +34,8 @@
 	upstreams map[string]*window
 }
 
-// window counts requests and retries of one upstream in a ring of cells.
+// window counts requests and retries of one upstream in a ring of cells. It has one
+// cell more than a window needs, because the newest cell is incomplete.
 type window struct {
 	cells [windowCells + 1]cell
 }
@@ -108,7 +109,7 @@
 		retries += c.retries
 	}
 	share := b.limits.Ratio*float64(requests) + b.limits.Allowance/float64(max(b.limits.Nodes, 1))
-	return safetyMargin*share - float64(retries)
+	return usableFraction*share - float64(retries)
 }
 
 // currentCell returns the cell for now, reset if its contents have expired. The
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -38,14 +38,14 @@
 	}
 	const window = 100
 	for end := window; end <= steps; end++ {
-		sentBefore, spent := 0, 0
+		recentRequests, spent := 0, 0
 		for step := max(end-2*window, 0); step < end; step++ {
 			if step >= end-window {
 				spent += retries[step]
 			}
-			sentBefore += requests[step]
+			recentRequests += requests[step]
 		}
-		if limit := 0.2*float64(sentBefore) + 50; float64(spent) > limit {
+		if limit := 0.2*float64(recentRequests) + 50; float64(spent) > limit {
 			t.Fatalf("%d retries in the window that ends at step %d, limit %.0f", spent, end, limit)
 		}
 	}
@@ -78,6 +78,6 @@
 		taken++
 	}
 	if taken != 3 {
-		t.Errorf("got %d retries, want 3 (allowance of 4 times the safety margin)", taken)
+		t.Errorf("got %d retries, want 3 (allowance of 4 times the usable fraction)", taken)
 	}
 }
--- a/internal/retrybudget/doc.go
+++ b/internal/retrybudget/doc.go
@@ -3,6 +3,6 @@
 // Each node may spend the ratio of its own requests and an equal share of the
 // allowance, so nodes need not communicate.
 //
-// Counts are kept in memory for one window and are lost on restart; the safety
-// margin covers this.
+// Counts are kept in memory for one window and are lost on restart. Nodes use only
+// part of the limit, so that restarted nodes do not exceed it.
 package retrybudget
