--- a/internal/router/pool_next.go
+++ b/internal/router/pool_next.go
@@ -18,7 +18,7 @@
 }
 
 func (p *Pool) expire(now time.Time, decisions []Decision) []Decision {
-	for i := p.queue.Expired(now); i != nil; i = p.queue.Expired(now) {
+	for i := p.queue.PopExpired(now); i != nil; i = p.queue.PopExpired(now) {
 		decisions = append(decisions, p.refuseExpired(now, i))
 	}
 	return decisions
@@ -88,11 +88,11 @@
 	p.stats.Bound++
 	i.Value.class.running++
 	if replica.running == 0 {
-		replica.pace.Moved(now)
+		replica.pace.RecordProgress(now)
 	}
 	replica.running++
-	replica.circuit.Bound()
-	replica.learnedLimit.Used(replica.running, p.highestTierWaits())
+	replica.circuit.RecordDispatch()
+	replica.learnedLimit.RecordUsage(replica.running, p.highestTierWaits())
 	cached := replica.prefixes.Match(i.Value.request.PrefixHashes)
 	replica.prefixes.Add(i.Value.request.PrefixHashes)
 	id := i.Value.request.ID
--- a/internal/router/replica_state.go
+++ b/internal/router/replica_state.go
@@ -21,9 +21,9 @@
 	lastReport     LoadReport
 	circuit        circuit.Breaker
 	learnedLimit   *concurrency.Limit
-	tokenTimeFloor concurrency.Floor
-	pace           balancer.Pace
-	prefixes       balancer.Prefixes
+	tokenTimeFloor concurrency.LatencyFloor
+	pace           balancer.TokenLatency
+	prefixes       balancer.PrefixHistory
 	// slowness is the time between tokens relative to the pool's median; a long silence
 	// raises it too.
 	slowness float64
@@ -62,10 +62,10 @@
 
 // healthy requires a closed circuit, regardless of the load.
 func (r *replicaState) healthy(now time.Time) bool {
-	return r.acceptsNew() && r.circuit.Allows(now) && r.circuit.ReopensAt().IsZero()
+	return r.acceptsNew() && r.circuit.Allows(now) && r.circuit.NextProbeAt().IsZero()
 }
 
-func (r *replicaState) isStraggler() bool { return r.slowness >= balancer.SuspectFrom }
+func (r *replicaState) isStraggler() bool { return r.slowness >= balancer.SuspectThreshold }
 
 func (r *replicaState) removable() bool { return r.removed && r.running == 0 }
 
