--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -89,21 +89,21 @@
 	if e.attempts > 1 {
 		return nil
 	}
-	verdict := e.admit(&placementAttempt.Choice)
-	if !verdict.Refused() {
+	decision := e.admit(&placementAttempt.Choice)
+	if !decision.Refused() {
 		return nil
 	}
 	placementAttempt.End(time.Now(), placement.Cancelled)
-	return e.overloadFailure(placementAttempt, verdict)
+	return e.overloadFailure(placementAttempt, decision)
 }
 
-func (e *exchange) overloadFailure(placementAttempt *placement.Attempt, v overload.Decision) *Failure {
+func (e *exchange) overloadFailure(placementAttempt *placement.Attempt, decision overload.Decision) *Failure {
 	c := &placementAttempt.Choice
-	e.forwarder.metrics.overloadRefusals.WithLabelValues(e.call.Upstream, string(v.Reason)).Inc()
+	e.forwarder.metrics.overloadRefusals.WithLabelValues(e.call.Upstream, string(decision.Reason)).Inc()
 	return &Failure{
-		Result: placement.Cancelled, NotRun: true, Step: stepChoose, Peer: placementAttempt.Replica.Address, RetryAfter: v.RetryAfter,
+		Result: placement.Cancelled, NotRun: true, Step: stepChoose, Peer: placementAttempt.Replica.Address, RetryAfter: decision.RetryAfter,
 		Cause: fmt.Errorf("%w (%s): %s expected at the best of %d replicas, memory used %.2f, %d requests there",
-			errOverloaded, v.Reason, c.FirstTokenTime.Round(time.Millisecond), c.Candidates, c.MemoryFraction, c.Running),
+			errOverloaded, decision.Reason, c.FirstTokenTime.Round(time.Millisecond), c.Candidates, c.MemoryFraction, c.Running),
 	}
 }
 
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -142,30 +142,30 @@
 	return fields
 }
 
-type permitAsked struct {
+type permitRequested struct {
 	exchange *exchange
 	replica  string
-	asked    ratelimit.AcquireResult
+	result   ratelimit.AcquireResult
 }
 
-func (*permitAsked) Name() string { return "permit_asked" }
+func (*permitRequested) Name() string { return "permit_asked" }
 
-func (ev *permitAsked) Level() eventlog.Level {
-	if ev.asked.Err != nil {
+func (ev *permitRequested) Level() eventlog.Level {
+	if ev.result.Err != nil {
 		return eventlog.Notable
 	}
 	return eventlog.Routine
 }
 
-func (ev *permitAsked) Fields() eventlog.Fields {
-	a := &ev.asked
+func (ev *permitRequested) Fields() eventlog.Fields {
+	result := &ev.result
 	fields := eventlog.Fields{
 		"request": ev.exchange.call.ID, "upstream": ev.exchange.call.Upstream, "attempt": ev.exchange.attempts, "replica": ev.replica,
-		"issuer": a.Grant.Issuer, "rate_limit": a.Limit.PerSecond, "age_ms": a.Age.Milliseconds(),
-		"given": a.Granted(), "retry_after_ms": a.Grant.RetryAfter.Milliseconds(),
+		"issuer": result.Grant.Issuer, "rate_limit": result.Limit.PerSecond, "age_ms": result.Age.Milliseconds(),
+		"given": result.Granted(), "retry_after_ms": result.Grant.RetryAfter.Milliseconds(),
 	}
-	if a.Err != nil {
-		fields["error"] = a.Err.Error()
+	if result.Err != nil {
+		fields["error"] = result.Err.Error()
 	}
 	return fields
 }
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -42,9 +42,9 @@
 func (e *exchange) acquirePermit(placementAttempt *placement.Attempt, deadline time.Time) bool {
 	ctx, cancel := context.WithDeadline(e.ctx, deadline)
 	defer cancel()
-	asked := e.forwarder.options.Permits.Acquire(ctx, time.Now(), &placementAttempt.Replica)
-	e.forwarder.options.Log.Write(&permitAsked{exchange: e, replica: placementAttempt.Replica.ID, asked: asked})
-	if !asked.Granted() {
+	result := e.forwarder.options.Permits.Acquire(ctx, time.Now(), &placementAttempt.Replica)
+	e.forwarder.options.Log.Write(&permitRequested{exchange: e, replica: placementAttempt.Replica.ID, result: result})
+	if !result.Granted() {
 		return false
 	}
 	placementAttempt.PermitGranted(time.Now())
