--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -158,14 +158,14 @@
 }
 
 func (ev *permitRequested) Fields() eventlog.Fields {
-	result := &ev.result
+	acquired := &ev.result
 	fields := eventlog.Fields{
 		"request": ev.exchange.call.ID, "upstream": ev.exchange.call.Upstream, "attempt": ev.exchange.attempts, "replica": ev.replica,
-		"issuer": result.Grant.Issuer, "rate_limit": result.Limit.PerSecond, "age_ms": result.Age.Milliseconds(),
-		"given": result.Granted(), "retry_after_ms": result.Grant.RetryAfter.Milliseconds(),
+		"issuer": acquired.Grant.Issuer, "rate_limit": acquired.Limit.PerSecond, "age_ms": acquired.Age.Milliseconds(),
+		"given": acquired.Granted(), "retry_after_ms": acquired.Grant.RetryAfter.Milliseconds(),
 	}
-	if result.Err != nil {
-		fields["error"] = result.Err.Error()
+	if acquired.Err != nil {
+		fields["error"] = acquired.Err.Error()
 	}
 	return fields
 }
