--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -59,12 +59,12 @@
 	if got := quick.Slowness(start, 0.001, 1, 0); got >= SuspectThreshold {
 		t.Errorf("slowness = %.1f of a replica at 9 ms a token, want below %.1f", got, SuspectThreshold)
 	}
-	var silent TokenLatency
-	silent.RecordProgress(start)
-	if got := silent.Slowness(start.Add(5*time.Second), 0.025, 1, time.Second); got < SuspectThreshold {
+	var stalled TokenLatency
+	stalled.RecordProgress(start)
+	if got := stalled.Slowness(start.Add(5*time.Second), 0.025, 1, time.Second); got < SuspectThreshold {
 		t.Errorf("slowness = %.1f of a stalled replica, want at least %.1f", got, SuspectThreshold)
 	}
-	if got := silent.Slowness(start.Add(5*time.Second), 0.025, 0, time.Second); got >= SuspectThreshold {
+	if got := stalled.Slowness(start.Add(5*time.Second), 0.025, 0, time.Second); got >= SuspectThreshold {
 		t.Errorf("slowness = %.1f of an idle replica, want less than the suspect threshold", got)
 	}
 }
--- a/internal/balancer/candidate.go
+++ b/internal/balancer/candidate.go
@@ -4,7 +4,7 @@
 
 // Candidate is the known state of a replica with a free slot.
 type Candidate struct {
-	// Running is the number of this node's requests at the replica.
+	// Running is the number of this node's requests at the replica, Limit their maximum.
 	Running int
 	Limit   int
 	// Slowness is the replica's time between tokens relative to the typical one; 1 is typical.
--- a/internal/circuit/doc.go
+++ b/internal/circuit/doc.go
@@ -1,3 +1,3 @@
 // Package circuit implements a circuit breaker for replicas. Without it, a replica that fails
-// immediately would attract all requests by its short queue.
+// immediately would attract all requests because its queue is short.
 package circuit
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -12,7 +12,7 @@
 	// index is the bucket's number since the Unix epoch.
 	index     int64
 	successes int32
-	// uncharged counts the added attempts within notRunAllowance.
+	// charged attempts count against the budget, uncharged ones against notRunAllowance.
 	charged   int32
 	uncharged int32
 }
