--- a/internal/enginespeed/reading.go
+++ b/internal/enginespeed/reading.go
@@ -10,7 +10,7 @@
 	// tokens per millisecond.
 	initialMSPerToken = 1.0 / 50
 	initialFixedMS    = 20.0
-	// Bounds, in milliseconds, from which the estimate recovers after a long run of outliers.
+	// Bounds of the estimate, in milliseconds, so that it recovers soon after many outliers.
 	minMSPerToken = 1.0 / 500
 	maxMSPerToken = 1.0 / 2
 	minFixedMS    = 1.0
@@ -30,7 +30,8 @@
 	// that does not depend on the prompt; both in milliseconds.
 	msPerToken float64
 	fixedMS    float64
-	answers    float64
+	// answers is the number of observed answers.
+	answers float64
 }
 
 // NewEstimator returns an estimator set to the speed of a typical engine.
@@ -41,32 +42,33 @@
 // Observe updates the estimate with an answer whose first token came after took. tokens is the
 // number of prompt tokens that the replica had to prefill before that, including those of
 // other requests.
-func (r *Estimator) Observe(tokens int, took time.Duration) {
+func (e *Estimator) Observe(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
-	prefillMS := r.msPerToken * float64(tokens)
-	expected := r.fixedMS + prefillMS
-	step := max(initialStep/(1+r.answers/stepDecayAnswers), minStep)
+	prefillMS := e.msPerToken * float64(tokens)
+	expected := e.fixedMS + prefillMS
+	step := max(initialStep/(1+e.answers/stepDecayAnswers), minStep)
 	if milliseconds(took) < expected {
 		step = -step
 	}
 	// Each component moves in proportion to its share of the expected time.
-	r.msPerToken = clamp(r.msPerToken*math.Exp(step*prefillMS/expected), minMSPerToken, maxMSPerToken)
-	r.fixedMS = clamp(r.fixedMS*math.Exp(step*r.fixedMS/expected), minFixedMS, maxFixedMS)
-	r.answers++
+	e.msPerToken = clamp(e.msPerToken*math.Exp(step*prefillMS/expected), minMSPerToken, maxMSPerToken)
+	e.fixedMS = clamp(e.fixedMS*math.Exp(step*e.fixedMS/expected), minFixedMS, maxFixedMS)
+	e.answers++
 }
 
-// PrefillTime returns the expected time to prefill the tokens.
-func (r *Estimator) PrefillTime(tokens int) time.Duration {
-	return time.Duration(r.PrefillMS(tokens) * float64(time.Millisecond))
+// PrefillTime returns the expected time to prefill the tokens, without the fixed part of the time
+// to first token.
+func (e *Estimator) PrefillTime(tokens int) time.Duration {
+	return time.Duration(e.PrefillMS(tokens) * float64(time.Millisecond))
 }
 
 // PrefillMS is PrefillTime in milliseconds.
-func (r *Estimator) PrefillMS(tokens int) float64 { return r.msPerToken * float64(tokens) }
+func (e *Estimator) PrefillMS(tokens int) float64 { return e.msPerToken * float64(tokens) }
 
 // TokensPerMS returns the prefill speed in tokens per millisecond.
-func (r *Estimator) TokensPerMS() float64 { return 1 / r.msPerToken }
+func (e *Estimator) TokensPerMS() float64 { return 1 / e.msPerToken }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
--- a/internal/enginespeed/reading_test.go
+++ b/internal/enginespeed/reading_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Two answers in five are outliers: the prompt was cached after all, or the replica stalled.
+// Two answers in five are outliers: the prompt was unexpectedly cached, or the replica stalled.
 func TestEstimatorIgnoresOutliers(t *testing.T) {
 	e := engine{50, 20}
 	random := rand.New(rand.NewPCG(1, 1))
--- a/internal/estimate/lengths_test.go
+++ b/internal/estimate/lengths_test.go
@@ -19,7 +19,7 @@
 func wantNear(t *testing.T, l *Lengths, class, workspace string, want float64) {
 	t.Helper()
 	got, ok := l.Quantile(class, workspace, Median)
-	if !ok || math.Abs(got-want) > accuracy*want+1 {
+	if !ok || math.Abs(got-want) > relativeAccuracy*want+1 {
 		t.Errorf("Quantile(%s, %s) = %v, %v, want about %v", class, workspace, got, ok, want)
 	}
 }
--- a/internal/estimate/sketch.go
+++ b/internal/estimate/sketch.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	accuracy = 0.05
+	// relativeAccuracy is the maximum relative error of a quantile.
+	relativeAccuracy = 0.05
 	// maxBins covers lengths from 1 to over 100,000 tokens at this accuracy.
 	maxBins = 128
 	// generationTime is how long a sketch is written before it is rotated; it is then read for as
 	// long again.
 	generationTime = 5 * time.Minute
-	// minCount is the number of answers from which a sketch is trusted.
+	// minCount is the number of answers that a sketch needs before its quantiles are used.
 	minCount = 10
-	// refreshEvery is the number of new answers after which the quantiles are recomputed.
-	refreshEvery = 16
+	// refreshCount is the number of new answers after which the quantiles are recomputed.
+	refreshCount = 16
 )
 
 // Quantiles that a sketch precomputes.
@@ -44,7 +45,7 @@
 }
 
 func newDDSketch() *ddsketch.DDSketch {
-	m, err := mapping.NewLogarithmicMapping(accuracy)
+	m, err := mapping.NewLogarithmicMapping(relativeAccuracy)
 	if err != nil {
 		panic(err) // accuracy is a constant within (0, 1)
 	}
@@ -64,11 +65,12 @@
 	}
 	s.sinceRefresh++
 	s.count++
-	if s.sinceRefresh >= refreshEvery || s.count <= minCount {
+	if s.sinceRefresh >= refreshCount || s.count <= minCount {
 		s.refreshQuantiles()
 	}
 }
 
+// rotate starts a new generation once the current one is generationTime old.
 func (s *sketch) rotate(now time.Time) {
 	age := now.Sub(s.startedAt)
 	if age < generationTime {
@@ -102,4 +104,5 @@
 	}
 }
 
+// trusted reports whether the sketch has enough answers for its quantiles to be used.
 func (s *sketch) trusted() bool { return s.count >= minCount }
--- a/internal/placement/attempt.go
+++ b/internal/placement/attempt.go
@@ -10,10 +10,10 @@
 type Attempt struct {
 	Replica replica.Replica
 	Choice  Choice
-	// CopyFrom is the address of another replica that may have cached parts of the prompt which
-	// this one has not; empty: none.
+	// CopyFrom is the address of another replica that may have cached parts of the prompt that
+	// this one lacks; empty: none.
 	CopyFrom string
-	// NeedsPermit says that the replica is rate limited: the request may be sent only after
+	// NeedsPermit is whether the replica is rate limited: then the request may be sent only after
 	// PermitGranted.
 	NeedsPermit bool
 
@@ -126,5 +126,5 @@
 
 // learnServiceTime is called with the lock held.
 func (u *upstream) learnServiceTime(took time.Duration) {
-	u.serviceMS += serviceWeight * (float64(took.Milliseconds()) - u.serviceMS)
+	u.serviceMS += serviceTimeWeight * (float64(took.Milliseconds()) - u.serviceMS)
 }
--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -6,23 +6,23 @@
 	// cacheTTL is how long a part counts as cached after its last use by this node: at typical
 	// load a replica's cache turns over in about twice this time.
 	cacheTTL = 12 * time.Second
-	// assumedPrefillTime is when a part counts as prefilled if this node did not see the answer
-	// start. It is longer than most prompts wait: copying a part before it is prefilled yields
-	// nothing, and the part is prefilled twice.
+	// assumedPrefillTime is how long after its first use a part counts as prefilled if this node
+	// did not see the answer start. It is longer than most prompts wait: a part that is copied
+	// before it is prefilled must be prefilled twice.
 	assumedPrefillTime = time.Second
 	// maxCachedParts bounds the parts tracked per replica.
 	maxCachedParts = 1024
 )
 
-// cache tracks which prompt parts were recently sent to a replica. It is a hint: the replica
-// may have evicted them.
+// cache tracks which prompt parts were recently sent to a replica. The replica may have evicted
+// them since.
 type cache struct {
 	parts map[uint64]cachedPart
 }
 
 type cachedPart struct {
 	usedAt time.Time
-	// prefilledAt is when the part is prefilled, observed or assumed.
+	// prefilledAt is when the part was observed, or is assumed, to be prefilled.
 	prefilledAt time.Time
 }
 
@@ -33,6 +33,7 @@
 	c.evict(now)
 }
 
+// touch records a use of the part.
 func (c *cache) touch(now time.Time, id uint64) {
 	if c.parts == nil {
 		c.parts = make(map[uint64]cachedPart)
@@ -45,6 +46,7 @@
 	c.parts[id] = part
 }
 
+// markPrefilled records that the parts that are tracked are prefilled now.
 func (c *cache) markPrefilled(now time.Time, parts []PromptPart) {
 	for _, p := range parts {
 		if part, known := c.parts[p.ID]; known && part.prefilledAt.After(now) {
@@ -54,12 +56,14 @@
 	}
 }
 
-// sinceUsed returns the time since the last use of the part; very long for an unknown part.
+// sinceUsed returns the time since the last use of the part. For a part that is not tracked it
+// is longer than any TTL.
 func (c *cache) sinceUsed(now time.Time, id uint64) time.Duration {
 	return now.Sub(c.parts[id].usedAt)
 }
 
-// evict drops old parts, or all, when there are more than maxCachedParts.
+// evict drops the parts not used for half of cacheTTL if more than maxCachedParts are tracked,
+// and all parts if that is not enough.
 func (c *cache) evict(now time.Time) {
 	if len(c.parts) <= maxCachedParts {
 		return
@@ -74,9 +78,9 @@
 	}
 }
 
-// deepest returns the index of the last part that counts as cached, or -1. Replicas cache
+// deepestCached returns the index of the last part that counts as cached, or -1. Replicas cache
 // prefixes, so it implies all parts before it.
-func (c *cache) deepest(now time.Time, parts []PromptPart) int {
+func (c *cache) deepestCached(now time.Time, parts []PromptPart) int {
 	for i := len(parts) - 1; i >= 0; i-- {
 		if part, known := c.parts[parts[i].ID]; known && now.Sub(part.usedAt) <= cacheTTL {
 			return i
@@ -87,10 +91,11 @@
 
 // cachedTokens returns the length of the leading parts that count as cached.
 func (c *cache) cachedTokens(now time.Time, parts []PromptPart) int {
-	return length(parts[:c.deepest(now, parts)+1])
+	return totalTokens(parts[:c.deepestCached(now, parts)+1])
 }
 
+// prefilled reports whether the last part that counts as cached is prefilled.
 func (c *cache) prefilled(now time.Time, parts []PromptPart) bool {
-	i := c.deepest(now, parts)
+	i := c.deepestCached(now, parts)
 	return i >= 0 && !c.parts[parts[i].ID].prefilledAt.After(now)
 }
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -7,14 +7,14 @@
 
 // In a large fleet, load reports are about a third of a second old, during which dozens of
 // requests arrive. If every node picked the replica with the lowest reported load, all would
-// pick the same few. A node that places a small share of the load therefore considers a few
-// randomly drawn replicas, besides those known to have the prompt cached: the less loaded of
-// two random choices is nearly as good as the least loaded of all (M. Mitzenmacher, "How
+// pick the same few replicas. A node that places a small share of the load therefore considers
+// a few randomly drawn replicas, besides those known to have the prompt cached: the less loaded
+// of two random choices is nearly as good as the least loaded of all (M. Mitzenmacher, "How
 // useful is old information?", 2000).
 const (
-	// minCandidates is the expected number of replicas of a side that a node considers at the
-	// smallest share. In a large fleet, more candidates delay short prompts, as nodes pick the
-	// same replicas; in a small one, fewer cost a little.
+	// minCandidates is the expected number of replicas of a side that a node considers if it places
+	// the smallest share of the load. With more candidates, the nodes of a large fleet pick the same
+	// replicas, which delays short prompts.
 	minCandidates = 4.0
 	// fullViewNodes is the number of nodes up to which each considers all replicas. Beyond it the
 	// fraction falls with the square of the node's share.
@@ -23,17 +23,18 @@
 	shareAveragingTime = 2 * time.Second
 )
 
-// candidateShare returns the fraction of a side's replicas to consider for a request.
-func (u *upstream) candidateShare(side []*replicaState) float64 {
+// candidateFraction returns the fraction of a side's replicas to consider for a request;
+// 1 or more means all.
+func (u *upstream) candidateFraction(side []*replicaState) float64 {
 	if u.considerAll {
 		return 1
 	}
-	fraction := fullViewNodes * u.ownShare()
+	fraction := fullViewNodes * u.ownFraction()
 	return max(fraction*fraction, minCandidates/float64(max(len(side), 1)))
 }
 
-// ownShare returns the fraction of the running requests that this node placed.
-func (u *upstream) ownShare() float64 {
+// ownFraction returns the fraction of the running requests that this node placed.
+func (u *upstream) ownFraction() float64 {
 	if u.avgRunningAll == 0 {
 		return 1
 	}
@@ -50,9 +51,9 @@
 
 // isCandidate reports whether to consider the replica: it may have the prompt cached, or it is
 // drawn at random.
-func (u *upstream) isCandidate(s *replicaState, p *prefixLocation, share float64) bool {
-	if share >= 1 || s == p.primary || s == p.secondary || s == p.best {
+func (u *upstream) isCandidate(s *replicaState, p *prefixLocation, fraction float64) bool {
+	if fraction >= 1 || s == p.primary || s == p.secondary || s == p.mostPrefilled {
 		return true
 	}
-	return u.rand.Float64() < share
+	return u.rand.Float64() < fraction
 }
--- a/internal/placement/choice.go
+++ b/internal/placement/choice.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Choice is the data that a replica was chosen by, for the log.
+// Choice describes, for the log, why a replica was chosen.
 type Choice struct {
-	// Cost is the expected cost in milliseconds, Candidates the number of available replicas.
+	// Cost is the expected cost in milliseconds, including the random jitter. Candidates is the
+	// number of available replicas, whether or not they were sampled.
 	Cost       float64
 	Candidates int
 	// FirstTokenTime is the expected time to the first token. It includes OwnPrefill, the time to
--- a/internal/placement/cost.go
+++ b/internal/placement/cost.go
@@ -7,6 +7,7 @@
 
 // The cost of a replica is in milliseconds of latency.
 const (
+	// runningCost is the cost of each request running at the replica.
 	runningCost = 1.5
 	// recomputeCost is the cost of each shared token that must be prefilled again although another
 	// replica has it cached, in addition to the time it takes: the operator pays for the work.
@@ -19,18 +20,18 @@
 	// once more. When all replicas have prompts waiting, repeated prefill delays every waiting
 	// request, so a session should stay at the replica that has its prompt cached.
 	backlogDoublingMS = 20.0
-	// memoryPressureFrom is the memory fraction above which memoryPressureCost applies in
-	// proportion to the excess.
-	memoryPressureFrom = 0.6
-	memoryPressureCost = 6000.0
+	// memoryPressureThreshold is the memory fraction above which the excess fraction times
+	// memoryPressureCost is added.
+	memoryPressureThreshold = 0.6
+	memoryPressureCost      = 6000.0
 	// failureCost is the cost of a failure score of 1: more than usual differences in load, so
 	// that a failing replica is used last.
 	failureCost = 250.0
 	// peerFailureWeight discounts failures reported by other nodes, whose network path to the
 	// replica may be at fault.
 	peerFailureWeight = 0.4
-	// zoneCost is the cost of another availability zone: about one round trip, and the traffic
-	// between zones.
+	// zoneCost is the cost of a replica in another availability zone: about one round trip, and
+	// the traffic between zones.
 	zoneCost = 3.0
 	// failedZoneCost is the cost of a zone in which the request has already failed: the network
 	// path to it may be at fault.
@@ -63,14 +64,14 @@
 // that run there. It counts the whole backlog: less urgent prompts are prefilled later but
 // still slow down the answer.
 func (u *upstream) promptCost(now time.Time, r *Request, s *replicaState, p *prefixLocation, recompute float64) float64 {
-	cached := p.cachedAt(now, r, s)
+	cached := p.expectedCachedTokens(now, r, s)
 	copied := p.copyableTokens(s, cached)
 	uncached := r.PromptTokens - cached - copied
 	cost := copyCost * float64(copied)
 	cost += u.prefillSpeed.PrefillMS(s.pendingPrefill()+uncached) + u.slotWaitMS(s, r.Rank)
 	cost += recompute * float64(r.sharedTokens()-cached-copied)
 	// An engine that runs out of memory preempts requests and prefills them again.
-	cost += max(u.memoryFraction(r, s)-memoryPressureFrom, 0) * memoryPressureCost
+	cost += max(u.memoryFraction(r, s)-memoryPressureThreshold, 0) * memoryPressureCost
 	return cost + u.stallingCost(r, s, uncached)
 }
 
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -24,31 +24,32 @@
 	PrefillBacklog PrefillBacklog
 	// TokensInMemory is the tokens that the running requests take of the replica's memory.
 	TokensInMemory int
-	// FailureScore is the node's failure score of the replica.
+	// FailureScore is the node's failure score of the replica, plus the seconds for which the
+	// replica has been unresponsive.
 	FailureScore float64
 }
 
 // Loads returns this node's load on the replicas, most used first.
 func (p *Placer) Loads(now time.Time) []Load {
 	var loads []Load
-	for _, u := range p.all() {
+	for _, u := range p.allUpstreams() {
 		loads = u.loads(now, loads)
 	}
 	return mostUsed(loads, maxLoads)
 }
 
 // mostUsed sorts the loads by running requests and truncates the list.
-func mostUsed(loads []Load, most int) []Load {
+func mostUsed(loads []Load, limit int) []Load {
 	slices.SortFunc(loads, func(a, b Load) int {
 		if a.Running != b.Running {
 			return b.Running - a.Running
 		}
 		return strings.Compare(a.Replica, b.Replica)
 	})
-	return loads[:min(len(loads), most)]
+	return loads[:min(len(loads), limit)]
 }
 
-func (p *Placer) all() []*upstream {
+func (p *Placer) allUpstreams() []*upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := make([]*upstream, 0, len(p.upstreams))
@@ -109,14 +110,14 @@
 	return mostUsed(list, maxFleetLoads)
 }
 
-func scale(sums map[string]Load, by float64) {
+func scaleLoads(sums map[string]Load, factor float64) {
 	for replica, sum := range sums {
-		sum.Running = int(math.Round(by * float64(sum.Running)))
-		sum.RunningShort = int(math.Round(by * float64(sum.RunningShort)))
+		sum.Running = int(math.Round(factor * float64(sum.Running)))
+		sum.RunningShort = int(math.Round(factor * float64(sum.RunningShort)))
 		for rank, tokens := range sum.PrefillBacklog {
-			sum.PrefillBacklog[rank] = int(math.Round(by * float64(tokens)))
+			sum.PrefillBacklog[rank] = int(math.Round(factor * float64(tokens)))
 		}
-		sum.TokensInMemory = int(math.Round(by * float64(sum.TokensInMemory)))
+		sum.TokensInMemory = int(math.Round(factor * float64(sum.TokensInMemory)))
 		sums[replica] = sum
 	}
 }
--- a/internal/placement/peers.go
+++ b/internal/placement/peers.go
@@ -16,15 +16,15 @@
 func (l *peerLoads) recent(now time.Time) bool { return now.Sub(l.receivedAt) <= peerLoadTTL }
 
 // SetPeerLoads records another node's load report; inGroup if this node aggregates that node's
-// loads. alive is the number of other nodes that serve.
-func (p *Placer) SetPeerLoads(node string, loads []Load, inGroup bool, alive int, now time.Time) {
+// loads. aliveNodes is the number of other nodes that serve.
+func (p *Placer) SetPeerLoads(node string, loads []Load, inGroup bool, aliveNodes int, now time.Time) {
 	p.mu.Lock()
 	p.peers[node] = peerLoads{loads: loads, inGroup: inGroup, receivedAt: now}
 	dropExpired(p.peers, now)
 	hasFleetLoads := p.hasFleetLoads(now)
 	p.mu.Unlock()
 	if !hasFleetLoads {
-		p.applyPeerLoads(alive, now)
+		p.applyPeerLoads(aliveNodes, now)
 	}
 }
 
@@ -39,7 +39,7 @@
 // hasFleetLoads is HasFleetLoads with the lock held.
 func (p *Placer) hasFleetLoads(now time.Time) bool { return now.Sub(p.fleetLoadsAt) <= peerLoadTTL }
 
-// SetGroupLoads records the summed loads of the nodes that another hub aggregates.
+// SetGroupLoads records the summed loads of another group. hub is the node that aggregates them.
 func (p *Placer) SetGroupLoads(hub string, loads []Load, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,13 +63,13 @@
 
 // GroupLoads returns the summed loads of this node and the nodes that it aggregates.
 func (p *Placer) GroupLoads(now time.Time) []Load {
-	return sumsToList(p.groupSum(now))
+	return sumsToList(p.sumGroupLoads(now))
 }
 
 // FleetLoads returns the summed loads of this node's group and of the other groups with a
 // recent report.
 func (p *Placer) FleetLoads(now time.Time) []Load {
-	sums := p.groupSum(now)
+	sums := p.sumGroupLoads(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, report := range p.groups {
@@ -80,7 +80,7 @@
 	return sumsToList(sums)
 }
 
-func (p *Placer) groupSum(now time.Time) map[string]Load {
+func (p *Placer) sumGroupLoads(now time.Time) map[string]Load {
 	sums := SumLoads(nil, p.Loads(now))
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,17 +100,17 @@
 	}
 }
 
-func (p *Placer) applyPeerLoads(alive int, now time.Time) {
-	sums := p.peerSums(alive, now)
-	for _, u := range p.all() {
-		u.setPeers(sums)
+func (p *Placer) applyPeerLoads(aliveNodes int, now time.Time) {
+	sums := p.sumPeerLoads(aliveNodes, now)
+	for _, u := range p.allUpstreams() {
+		u.setPeerSums(sums)
 	}
 }
 
-// peerSums returns the other nodes' summed loads: the fleet sum if there is a recent one,
-// otherwise the sum of the recent reports. Callers spread evenly over the nodes, so if only
-// some of the alive nodes have reported, the sum is scaled up.
-func (p *Placer) peerSums(alive int, now time.Time) map[string]Load {
+// sumPeerLoads returns the other nodes' summed loads: the fleet sum if there is a recent one,
+// otherwise the sum of the recent reports. If only some of the aliveNodes have reported, the sum
+// is scaled up, assuming that clients spread their requests evenly over the nodes.
+func (p *Placer) sumPeerLoads(aliveNodes int, now time.Time) map[string]Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.hasFleetLoads(now) {
@@ -124,13 +124,13 @@
 			reporting++
 		}
 	}
-	if reporting > 0 && reporting < alive {
-		scale(sums, float64(alive)/float64(reporting))
+	if reporting > 0 && reporting < aliveNodes {
+		scaleLoads(sums, float64(aliveNodes)/float64(reporting))
 	}
 	return sums
 }
 
-func (u *upstream) setPeers(sums map[string]Load) {
+func (u *upstream) setPeerSums(sums map[string]Load) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, s := range u.all {
@@ -144,7 +144,7 @@
 // reported to this node.
 func (p *Placer) PeersRunning(now time.Time) map[string]int {
 	running := make(map[string]int)
-	for id, l := range p.peerSums(0, now) {
+	for id, l := range p.sumPeerLoads(0, now) {
 		running[id] = l.Running
 	}
 	return running
--- a/internal/placement/placements.go
+++ b/internal/placement/placements.go
@@ -52,11 +52,11 @@
 	}
 }
 
-// relay records another node's placement for announcement during relayTime. Parts already in
-// the cache hint within that time are skipped, as they have been relayed before.
-func (p *placements) relay(now time.Time, placed Placement, known *cache) {
+// relay records another node's placement for announcement during relayTime. Parts that cached
+// shows as used within that time are skipped, as they have been announced before.
+func (p *placements) relay(now time.Time, placed Placement, cached *cache) {
 	for _, part := range placed.Parts {
-		if known.sinceUsed(now, part) > relayTime {
+		if cached.sinceUsed(now, part) > relayTime {
 			p.record(placed.Replica, part, announcedPart{recordedAt: now, expiresAt: now.Add(relayTime)})
 		}
 	}
@@ -88,7 +88,7 @@
 // resending them would dominate the traffic between nodes.
 func (p *Placer) Placements(now, since time.Time) []Placement {
 	var list []Placement
-	for _, u := range p.all() {
+	for _, u := range p.allUpstreams() {
 		u.mu.Lock()
 		list = u.recentPlacements.recent(now, since, list)
 		u.mu.Unlock()
@@ -96,10 +96,10 @@
 	return list
 }
 
-// SetPlacements records another node's placements. With relay set, this node announces them
-// for a while to nodes that the other one does not contact.
+// SetPlacements records another node's placements. With relay set, this node also announces them
+// during relayTime, for nodes that do not exchange data with that other node.
 func (p *Placer) SetPlacements(list []Placement, relay bool, now time.Time) {
-	for _, u := range p.all() {
+	for _, u := range p.allUpstreams() {
 		u.mu.Lock()
 		for _, placed := range list {
 			s, ok := u.states[placed.Replica]
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -17,8 +17,8 @@
 	mu        sync.Mutex
 	rand      *rand.Rand
 	upstreams map[string]*upstream
-	// peers is the last load report of each node, groups the last summed loads of each other hub's
-	// group; both by node name.
+	// peers holds the last load report of each other node, by node name. groups holds the last
+	// summed loads of each other group, by the name of the hub, the node that aggregates the group.
 	peers  map[string]peerLoads
 	groups map[string]peerLoads
 	// considerAll disables random sampling of candidates.
@@ -48,7 +48,8 @@
 	return u
 }
 
-// ConsiderAllReplicas disables random sampling of candidates in large fleets, for comparisons.
+// ConsiderAllReplicas disables random sampling of candidates in large fleets, to compare choices
+// with and without it.
 // Call it before the first Choose.
 func (p *Placer) ConsiderAllReplicas() { p.considerAll = true }
 
@@ -79,11 +80,11 @@
 	p.lastChoiceAt = now
 }
 
-// UsedWithin reports whether Choose was called within the span before now.
-func (p *Placer) UsedWithin(span time.Duration, now time.Time) bool {
+// UsedWithin reports whether Choose was called within the window that ends now.
+func (p *Placer) UsedWithin(window time.Duration, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.lastChoiceAt) <= span
+	return now.Sub(p.lastChoiceAt) <= window
 }
 
 // bind adds the attempt to the load of the chosen replica. The lock is held.
--- a/internal/placement/placer_test.go
+++ b/internal/placement/placer_test.go
@@ -12,7 +12,8 @@
 
 var start = time.Date(2026, 3, 6, 20, 0, 0, 0, time.UTC)
 
-func fleet(n int, seed uint64) (*Placer, *replica.Set) {
+// newFleet returns a placer and its set of n registered replicas.
+func newFleet(n int, seed uint64) (*Placer, *replica.Set) {
 	set := replica.NewSet()
 	register(set, 1, n)
 	return NewPlacer("z0", set, rand.New(rand.NewPCG(seed, 1))), set
@@ -44,18 +45,18 @@
 }
 
 func TestSessionReturnsToItsReplicaFromAnyNode(t *testing.T) {
-	one, _ := fleet(12, 1)
-	two, _ := fleet(12, 2)
+	first, _ := newFleet(12, 1)
+	second, _ := newFleet(12, 2)
 	placedOn := make(map[uint64]string)
 	for i := range uint64(40) {
 		session := 50 * (i + 2)
 		now := start.Add(time.Duration(session) * time.Second)
-		a := one.Choose(now, "u", long(session))
+		a := first.Choose(now, "u", long(session))
 		placedOn[session] = a.Replica.ID
 		a.AnswerStarted(now)
 		a.End(now, Answered)
-		two.SetPlacements(one.Placements(now, time.Time{}), false, now)
-		for _, p := range []*Placer{one, two} {
+		second.SetPlacements(first.Placements(now, time.Time{}), false, now)
+		for _, p := range []*Placer{first, second} {
 			b := p.Choose(now.Add(time.Second), "u", long(session))
 			if b.Replica.ID != placedOn[session] {
 				t.Errorf("session %d was placed on %s and then on %s", session, placedOn[session], b.Replica.ID)
@@ -77,17 +78,17 @@
 func TestSessionMovesOnlyToIdleReplica(t *testing.T) {
 	const largeBacklog, smallBacklog = 110_000, 20_000
 	for name, test := range map[string]struct {
-		elsewhere int
-		stays     bool
+		otherBacklog int
+		stays        bool
 	}{"other replicas idle": {0, false}, "other replicas busy": {smallBacklog, true}} {
 		t.Run(name, func(t *testing.T) {
-			p, set := fleet(12, 1)
+			p, set := newFleet(12, 1)
 			first := p.Choose(start, "u", long(100))
 			first.AnswerStarted(start)
 			first.End(start, Answered)
 			var loads []Load
 			for _, r := range set.ForUpstream("u") {
-				load := Load{Replica: r.ID, Running: 4, PrefillBacklog: PrefillBacklog{test.elsewhere}}
+				load := Load{Replica: r.ID, Running: 4, PrefillBacklog: PrefillBacklog{test.otherBacklog}}
 				if r.ID == first.Replica.ID {
 					load.PrefillBacklog = PrefillBacklog{largeBacklog}
 				}
@@ -103,7 +104,7 @@
 }
 
 func TestLongAndShortPromptsUseSeparateReplicas(t *testing.T) {
-	p, _ := fleet(12, 1)
+	p, _ := newFleet(12, 1)
 	var running []*Attempt
 	sides := map[string]map[string]int{"long": {}, "short": {}}
 	for i := range 600 {
@@ -137,7 +138,7 @@
 
 func TestFailingReplicaIsAvoidedThenRetried(t *testing.T) {
 	for _, result := range []Result{Interrupted, TimedOut, Unreachable, Errored, Full, Replaced} {
-		p, _ := fleet(3, 1)
+		p, _ := newFleet(3, 1)
 		first := p.Choose(start, "u", &Request{})
 		first.End(start, result)
 		for range 20 {
@@ -161,12 +162,12 @@
 }
 
 func TestUnresponsiveReplicaIsAvoided(t *testing.T) {
-	p, _ := fleet(2, 1)
-	stuck := p.Choose(start, "u", short())
+	p, _ := newFleet(2, 1)
+	unresponsive := p.Choose(start, "u", short())
 	now := start.Add(2 * time.Second)
 	for range 10 {
 		a := p.Choose(now, "u", short())
-		if a.Replica.ID == stuck.Replica.ID {
+		if a.Replica.ID == unresponsive.Replica.ID {
 			t.Fatal("a request was placed on a replica that has sent no data for two seconds")
 		}
 		a.AnswerStarted(now)
@@ -174,7 +175,7 @@
 }
 
 func TestPeerFailuresAndLoadsAffectChoice(t *testing.T) {
-	p, set := fleet(3, 1)
+	p, set := newFleet(3, 1)
 	p.Choose(start, "u", &Request{}).End(start, Cancelled)
 	ids := []string{set.ForUpstream("u")[0].ID, set.ForUpstream("u")[1].ID}
 	p.SetPeerLoads("other", []Load{{Replica: ids[0], FailureScore: 5}, {Replica: ids[1], Running: 90}}, false, 1, start)
@@ -194,12 +195,12 @@
 		a.End(start, Cancelled)
 	}
 	if len(used) < 2 {
-		t.Errorf("only %v used after the peer report expired", used)
+		t.Errorf("only %v used after the peer report expired, want at least two replicas", used)
 	}
 }
 
 func TestRetryPrefersAnotherReplicaInAnotherZone(t *testing.T) {
-	p, set := fleet(6, 1)
+	p, set := newFleet(6, 1)
 	byID := make(map[string]replica.Replica)
 	for _, r := range set.ForUpstream("u") {
 		byID[r.ID] = r
@@ -211,14 +212,14 @@
 	for range 20 {
 		b := p.Choose(start, "u", request)
 		if b.Replica.ID == a.Replica.ID || b.Replica.AvailabilityZone == a.Replica.AvailabilityZone {
-			t.Errorf("the second attempt was placed on %s in zone %s", b.Replica.ID, b.Replica.AvailabilityZone)
+			t.Errorf("the second attempt was placed on %s in zone %s, want another replica in another zone", b.Replica.ID, b.Replica.AvailabilityZone)
 		}
 		b.End(start, Cancelled)
 	}
 }
 
 func TestDrainingReplicasReceiveNoRequests(t *testing.T) {
-	p, set := fleet(4, 1)
+	p, set := newFleet(4, 1)
 	register(set, 2, 4, 0, 1, 2)
 	for range 20 {
 		if a := p.Choose(start, "u", short()); a.Replica.ID != "i-03" {
@@ -238,7 +239,7 @@
 		"requests of different sessions": func(i int) uint64 { return uint64(50 * (i + 2)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, _ := fleet(6, 1)
+			p, _ := newFleet(6, 1)
 			taken := make(map[string]int)
 			counted := make(map[string]map[uint64]bool)
 			for i := range 100 {
@@ -266,7 +267,7 @@
 }
 
 func TestReportsToPeersAreBounded(t *testing.T) {
-	p, set := fleet(0, 1)
+	p, set := newFleet(0, 1)
 	register(set, 2, 400)
 	for i := range 4000 {
 		p.Choose(start, "u", long(uint64(1000+i)))
@@ -289,7 +290,7 @@
 }
 
 func TestLoadsOfSomeNodesAreScaledToAll(t *testing.T) {
-	p, set := fleet(1, 1)
+	p, set := newFleet(1, 1)
 	p.Choose(start, "u", &Request{}).End(start, Cancelled)
 	id := set.ForUpstream("u")[0].ID
 	for i := range 4 {
@@ -297,12 +298,12 @@
 	}
 	s := p.upstream("u").states[id]
 	if s.peersRunning != 36 || s.peersPrefillBacklog != (PrefillBacklog{720, 0, 480}) {
-		t.Errorf("4 of 12 nodes with 3 running requests each: scaled to %d running and backlog %v", s.peersRunning, s.peersPrefillBacklog)
+		t.Errorf("4 of 12 nodes with 3 running requests each: scaled to %d running and backlog %v, want three times the reported sums", s.peersRunning, s.peersPrefillBacklog)
 	}
 }
 
 func TestRestartedReplicaHasEmptyState(t *testing.T) {
-	p, set := fleet(6, 1)
+	p, set := newFleet(6, 1)
 	first := p.Choose(start, "u", long(100))
 	first.AnswerStarted(start)
 	first.End(start, Unreachable)
--- a/internal/placement/places.go
+++ b/internal/placement/places.go
@@ -6,20 +6,20 @@
 // however short their prompts are. A burst of short prompts with long answers fills all slots
 // while the prefill backlog is still small, so slot waits are modelled separately.
 const (
-	// slotsFilled is the target fraction of a replica's slots used by short-prompt requests.
-	slotsFilled = 0.85
+	// targetSlotFraction is the target fraction of a replica's slots used by short-prompt requests.
+	targetSlotFraction = 0.85
 	// answerWeight is the weight of one observation in the average answer time.
 	answerWeight = 0.05
 )
 
 // shortCapacity returns the target and the maximum number of short-prompt requests per
 // replica.
-func shortCapacity(open []*replicaState) (usual, atMost float64) {
-	slots := open[0].replica.Slots
+func shortCapacity(available []*replicaState) (target, maximum float64) {
+	slots := available[0].replica.Slots
 	if slots <= 0 {
 		return shortPerReplica, maxShortPerReplica
 	}
-	return min(shortPerReplica, slotsFilled*float64(slots)), min(maxShortPerReplica, float64(slots))
+	return min(shortPerReplica, targetSlotFraction*float64(slots)), min(maxShortPerReplica, float64(slots))
 }
 
 // slotWaitMS returns the expected time, in milliseconds, until the replica has a free slot for
@@ -31,11 +31,11 @@
 	if slots <= 0 || waiting < 0 {
 		return 0
 	}
-	before := float64(waiting)
+	ahead := float64(waiting)
 	if pending := s.pendingPrefill(); pending > 0 {
-		before *= float64(s.prefillAhead(rank)) / float64(pending)
+		ahead *= float64(s.prefillAhead(rank)) / float64(pending)
 	}
-	return u.answerMS * (before + 1) / float64(slots)
+	return u.answerMS * (ahead + 1) / float64(slots)
 }
 
 func (u *upstream) learnAnswerTime(took time.Duration) {
--- a/internal/placement/prefix.go
+++ b/internal/placement/prefix.go
@@ -12,21 +12,21 @@
 	// primary and secondary are the first two replicas of the parts by rendezvous hashing.
 	primary   *replicaState
 	secondary *replicaState
-	// canCopy says that replicas can copy cached parts from each other.
+	// canCopy is whether replicas can copy cached parts from each other.
 	canCopy bool
-	// best is the replica with the most tokens of them prefilled, bestTokens how many; nil: none
-	// known.
-	best       *replicaState
-	bestTokens int
+	// mostPrefilled is the replica that has prefilled the most tokens of the parts; nil: none is
+	// known. mostPrefilledTokens is the number of these tokens.
+	mostPrefilled       *replicaState
+	mostPrefilledTokens int
 }
 
 // maxCopyFailureScore is the failure score from which parts are not copied from a replica: one
 // lost connection, after which its cache is probably lost, too.
 const maxCopyFailureScore = 1.0
 
-// locatePrefix finds the replicas that have the prompt's shared parts prefilled, and the
-// primary and secondary replica among side.
-func locatePrefix(now time.Time, r *Request, open, side []*replicaState) prefixLocation {
+// locatePrefix finds the available replica that has prefilled the most of the prompt's shared
+// parts, and the primary and secondary replicas on the side of the request's class.
+func locatePrefix(now time.Time, r *Request, available, side []*replicaState) prefixLocation {
 	if len(r.Shared) == 0 {
 		return prefixLocation{}
 	}
@@ -35,16 +35,18 @@
 	if !r.CanCopyCache {
 		return p
 	}
-	for _, s := range open {
+	for _, s := range available {
 		tokens := s.cache.cachedTokens(now, r.Shared)
-		if tokens > p.bestTokens && s.cache.prefilled(now, r.Shared) && s.failureScoreAt(now) < maxCopyFailureScore {
-			p.best, p.bestTokens = s, tokens
+		if tokens > p.mostPrefilledTokens && s.cache.prefilled(now, r.Shared) && s.failureScoreAt(now) < maxCopyFailureScore {
+			p.mostPrefilled, p.mostPrefilledTokens = s, tokens
 		}
 	}
 	return p
 }
 
-func (p *prefixLocation) cachedAt(now time.Time, r *Request, s *replicaState) int {
+// expectedCachedTokens returns the number of shared prompt tokens that the replica is expected to
+// have cached.
+func (p *prefixLocation) expectedCachedTokens(now time.Time, r *Request, s *replicaState) int {
 	cached := s.cache.cachedTokens(now, r.Shared)
 	if s == p.primary {
 		cached = max(cached, int(primaryCachedShare*float64(r.sharedTokens())))
@@ -52,23 +54,23 @@
 	return cached
 }
 
-// copyableTokens returns the number of tokens that the replica can copy from best, beyond the
-// cached ones.
+// copyableTokens returns the number of tokens that the replica can copy from mostPrefilled,
+// beyond those it has cached.
 func (p *prefixLocation) copyableTokens(s *replicaState, cached int) int {
-	if s == p.best {
+	if s == p.mostPrefilled {
 		return 0
 	}
-	return max(p.bestTokens-cached, 0)
+	return max(p.mostPrefilledTokens-cached, 0)
 }
 
 // source returns the replica to copy shared parts from, or nil. If no replica is known to have
-// them, as after a restart of the nodes, it returns the primary or secondary one: a failed
-// copy costs next to nothing.
+// them, as after a restart of the nodes, it returns the primary replica, or the secondary for
+// the primary itself: a copy that finds nothing is cheap.
 func (p *prefixLocation) source(s *replicaState, cached int) *replicaState {
 	switch {
 	case p.copyableTokens(s, cached) > 0:
-		return p.best
-	case !p.canCopy || p.best != nil || cached > 0:
+		return p.mostPrefilled
+	case !p.canCopy || p.mostPrefilled != nil || cached > 0:
 		return nil
 	case s == p.primary:
 		return p.secondary
@@ -91,16 +93,16 @@
 // rendezvousReplicas returns the first two replicas for the prompt's deepest shared part.
 func rendezvousReplicas(r *Request, states []*replicaState) (*replicaState, *replicaState) {
 	part := r.Shared[len(r.Shared)-1].ID
-	var best, next uint64
+	var firstWeight, secondWeight uint64
 	var first, second *replicaState
 	for _, s := range states {
-		rank := rendezvousHash(part, s.replica.ID)
+		weight := rendezvousHash(part, s.replica.ID)
 		switch {
-		case first == nil || rank > best:
-			next, second = best, first
-			best, first = rank, s
-		case second == nil || rank > next:
-			next, second = rank, s
+		case first == nil || weight > firstWeight:
+			secondWeight, second = firstWeight, first
+			firstWeight, first = weight, s
+		case second == nil || weight > secondWeight:
+			secondWeight, second = weight, s
 		}
 	}
 	return first, second
--- a/internal/placement/prefix_test.go
+++ b/internal/placement/prefix_test.go
@@ -41,13 +41,13 @@
 		"after the cache TTL":            {300 * time.Millisecond, cacheTTL + time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, _ := fleet(12, 1)
+			p, _ := newFleet(12, 1)
 			first := p.Choose(start, "u", copyableRequest(100))
 			if test.answerStarted > 0 {
 				first.AnswerStarted(start.Add(test.answerStarted))
 			}
 			location := locatePrefix(start.Add(test.locatedAt), copyableRequest(100), p.upstream("u").available, p.upstream("u").available)
-			if prefilled := location.best != nil && location.best.replica.ID == first.Replica.ID; prefilled != test.copy {
+			if prefilled := location.mostPrefilled != nil && location.mostPrefilled.replica.ID == first.Replica.ID; prefilled != test.copy {
 				t.Errorf("%s located as having prefilled the parts: %v, want the opposite", first.Replica.ID, prefilled)
 			}
 			if !test.copy {
@@ -79,7 +79,7 @@
 
 // After a restart of all nodes, the primary and secondary replicas copy from each other.
 func TestUnknownPrefixIsCopiedBetweenPrimaryAndSecondary(t *testing.T) {
-	p, _ := fleet(12, 1)
+	p, _ := newFleet(12, 1)
 	a := p.Choose(start, "u", copyableRequest(100))
 	location := locatePrefix(start, copyableRequest(150), p.upstream("u").available, p.upstream("u").available)
 	if location.primary == nil || location.secondary == nil || location.primary == location.secondary {
@@ -100,7 +100,7 @@
 
 // A prompt waits only for prompts of its own and more urgent ranks.
 func TestPrefillAheadExcludesLessUrgentRanks(t *testing.T) {
-	p, set := fleet(1, 1)
+	p, set := newFleet(1, 1)
 	id := set.ForUpstream("u")[0].ID
 	p.Choose(start, "u", &Request{}).End(start, Cancelled)
 	p.SetPeerLoads("other", []Load{{Replica: id, Running: 2, PrefillBacklog: PrefillBacklog{0, 1000, 0, 50_000}}}, false, 1, start)
--- a/internal/placement/ratelimits_test.go
+++ b/internal/placement/ratelimits_test.go
@@ -13,7 +13,7 @@
 // limitedFleet returns a placer for n replicas of which the first ones are rate limited, with
 // permits that are all refused for a minute.
 func limitedFleet(n, limited int) (*Placer, *ratelimit.Permits) {
-	p, set := fleet(n, 1)
+	p, set := newFleet(n, 1)
 	table := ratelimit.NewTable(func() boottime.Instant { return 2 })
 	permits := ratelimit.NewPermits(table)
 	permits.SetAcquireFunc(func(context.Context, ratelimit.Limit) (ratelimit.Grant, error) {
@@ -36,7 +36,7 @@
 			return a
 		}
 		if grant := permits.Acquire(t.Context(), time.Now(), &a.Replica); grant.Granted() {
-			t.Fatal("a permit was given")
+			t.Fatal("a permit was granted, want all permits refused")
 		}
 		a.End(time.Now(), Cancelled)
 	}
@@ -65,7 +65,7 @@
 		t.Errorf("rate limited replicas: %+v, want 3 with the next permit in about a minute", found)
 	}
 	if found := p.RateLimited(time.Now(), "other"); found.Replicas != 0 {
-		t.Errorf("rate limited replicas of an upstream without replicas: %+v", found)
+		t.Errorf("rate limited replicas of an upstream without replicas: %+v, want none", found)
 	}
 }
 
@@ -78,7 +78,7 @@
 	for range 50 {
 		a := chooseRefusingPermits(t, p, permits)
 		if a == nil || a.Replica.ID != "i-39" {
-			t.Fatalf("chosen: %+v", a)
+			t.Fatalf("chose %+v, want i-39, the only replica that is not rate limited", a)
 		}
 		a.End(time.Now(), Cancelled)
 	}
@@ -90,7 +90,7 @@
 	request.ExcludeRateLimited = true
 	for range 10 {
 		if a := p.Choose(start, "u", request); a == nil || a.NeedsPermit || ratelimit.IsLimited(permits.Limits(), &a.Replica) {
-			t.Fatalf("chosen: %+v", a)
+			t.Fatalf("chose %+v, want a replica that is not rate limited", a)
 		}
 	}
 }
@@ -115,6 +115,6 @@
 	p, _ := limitedFleet(1, 1)
 	p.replicas.Update(replica.Listing{Revision: 2, Replicas: []replica.Replica{{ID: "i-00", StartedAt: 9, Upstream: "u", Slots: 32}}}, 3, 3)
 	if a := p.Choose(start, "u", short()); a == nil || a.NeedsPermit {
-		t.Errorf("chosen: %+v", a)
+		t.Errorf("chose %+v, want the restarted replica without a permit", a)
 	}
 }
--- a/internal/placement/reading.go
+++ b/internal/placement/reading.go
@@ -11,31 +11,31 @@
 func rankIndex(rank int) int { return min(max(rank, 0), Ranks-1) }
 
 // add adds the tokens of a request of the rank; negative tokens remove it.
-func (r *PrefillBacklog) add(rank, tokens int) { r[rankIndex(rank)] += tokens }
+func (b *PrefillBacklog) add(rank, tokens int) { b[rankIndex(rank)] += tokens }
 
 // Total returns the tokens of all ranks.
-func (r *PrefillBacklog) Total() int { return r.upTo(Ranks - 1) }
+func (b *PrefillBacklog) Total() int { return b.upTo(Ranks - 1) }
 
 // upTo returns the tokens that are prefilled before a new request of the rank.
-func (r *PrefillBacklog) upTo(rank int) int {
+func (b *PrefillBacklog) upTo(rank int) int {
 	total := 0
-	for _, tokens := range r[:rankIndex(rank)+1] {
+	for _, tokens := range b[:rankIndex(rank)+1] {
 		total += tokens
 	}
 	return total
 }
 
-func (r PrefillBacklog) plus(other *PrefillBacklog) PrefillBacklog {
-	for rank := range r {
-		r[rank] += other[rank]
+func (b PrefillBacklog) plus(other *PrefillBacklog) PrefillBacklog {
+	for rank := range b {
+		b[rank] += other[rank]
 	}
-	return r
+	return b
 }
 
 // minus subtracts part, but not below zero: the two may come from reports of different age.
-func (r PrefillBacklog) minus(part *PrefillBacklog) PrefillBacklog {
-	for rank := range r {
-		r[rank] = max(r[rank]-part[rank], 0)
+func (b PrefillBacklog) minus(part *PrefillBacklog) PrefillBacklog {
+	for rank := range b {
+		b[rank] = max(b[rank]-part[rank], 0)
 	}
-	return r
+	return b
 }
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -18,7 +18,7 @@
 	AnswerTokens int
 	// MemoryTokens is the capacity of a replica's memory in tokens; zero: not known.
 	MemoryTokens int
-	// CanCopyCache says that replicas can copy cached parts from each other.
+	// CanCopyCache is whether replicas can copy cached parts from each other.
 	CanCopyCache bool
 	// Shared is the leading parts of the prompt that it shares with other requests, in order.
 	Shared []PromptPart
@@ -34,10 +34,10 @@
 func (r *Request) tokens() int { return r.PromptTokens + r.AnswerTokens }
 
 func (r *Request) sharedTokens() int {
-	return length(r.Shared)
+	return totalTokens(r.Shared)
 }
 
-func length(parts []PromptPart) int {
+func totalTokens(parts []PromptPart) int {
 	total := 0
 	for _, p := range parts {
 		total += p.Tokens
--- a/internal/placement/split.go
+++ b/internal/placement/split.go
@@ -18,16 +18,16 @@
 // classes with long prompts. All nodes order the replicas alike and exchange loads, so their
 // splits differ by at most about one replica.
 const (
-	// longPromptFrom is the average prompt length, in tokens, from which a class counts as long:
-	// what an engine prefills in one step.
-	longPromptFrom = 2000
+	// longPromptThreshold is the average prompt length, in tokens, from which a class has long
+	// prompts: the number of tokens that an engine prefills in one step.
+	longPromptThreshold = 2000
 	// promptWeight is the weight of one prompt in its class's average length.
 	promptWeight = 0.05
 	// shortPerReplica and longPerReplica are the target numbers of concurrent requests per
 	// replica.
 	shortPerReplica = 20.0
-	// maxShortPerReplica is the number of short-prompt requests up to which a replica is filled
-	// before the long side gives up a replica.
+	// maxShortPerReplica is the number of concurrent short-prompt requests per replica above which
+	// the short side takes replicas from the long side, whatever the load there.
 	maxShortPerReplica = 26.0
 	longPerReplica     = 4.0
 	// splitAveragingTime is the averaging time of the loads: longer than load reports take to
@@ -37,12 +37,12 @@
 	// milliseconds.
 	shortOnLongSideCost = 150.0
 	longOnShortSideCost = 100.0
-	// stallFrom is the time of consecutive prefill, in milliseconds, from which short-prompt
-	// streams start to stall beyond the longest acceptable pause, and stallTo that at which all of
-	// them do. stallCost is the cost per stalled stream.
-	stallFrom = 100.0
-	stallTo   = 200.0
-	stallCost = 300.0
+	// stallStartMS is the duration of consecutive prefill above which some short-prompt streams
+	// pause for longer than is acceptable. At stallFullMS all of them do. stallCost is the cost per
+	// stalled stream.
+	stallStartMS = 100.0
+	stallFullMS  = 200.0
+	stallCost    = 300.0
 )
 
 // split is the average load of the two sides, in replicas.
@@ -55,59 +55,59 @@
 	if r.PromptTokens == 0 {
 		return
 	}
-	usual, known := u.usualPromptTokens[r.Class]
+	average, known := u.avgPromptTokens[r.Class]
 	if !known {
-		usual = float64(r.PromptTokens)
+		average = float64(r.PromptTokens)
 	}
-	u.usualPromptTokens[r.Class] = usual + promptWeight*(float64(r.PromptTokens)-usual)
+	u.avgPromptTokens[r.Class] = average + promptWeight*(float64(r.PromptTokens)-average)
 }
 
 func (u *upstream) hasLongPrompts(r *Request) bool {
-	return u.usualPromptTokens[r.Class] >= longPromptFrom
+	return u.avgPromptTokens[r.Class] >= longPromptThreshold
 }
 
 // availableReplicas returns the replicas that accept new requests, ordered by a hash of their
 // IDs.
 func availableReplicas(replicas []replica.Replica) []replica.Replica {
-	open := make([]replica.Replica, 0, len(replicas))
+	available := make([]replica.Replica, 0, len(replicas))
 	for _, r := range replicas {
 		if !r.Draining {
-			open = append(open, r)
+			available = append(available, r)
 		}
 	}
-	slices.SortFunc(open, func(a, b replica.Replica) int {
+	slices.SortFunc(available, func(a, b replica.Replica) int {
 		if order := cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID)); order != 0 {
 			return order
 		}
 		return strings.Compare(a.ID, b.ID)
 	})
-	return open
+	return available
 }
 
-// shortSideSize returns how many replicas, from the first, form the short side.
-func (u *upstream) shortSideSize(now time.Time, r *Request, open []*replicaState) int {
-	if r.PromptTokens == 0 || len(open) < 2 {
-		return len(open)
+// shortSideSize returns n such that the first n available replicas form the short side.
+func (u *upstream) shortSideSize(now time.Time, r *Request, available []*replicaState) int {
+	if r.PromptTokens == 0 || len(available) < 2 {
+		return len(available)
 	}
-	usual, atMost := shortCapacity(open)
-	u.updateAverages(now, open, usual)
+	target, maximum := shortCapacity(available)
+	u.updateAverages(now, available, target)
 	shortLoad, longLoad := u.split.shortLoad+assumedDemand, u.split.longLoad+assumedDemand
-	side := int(math.Round(float64(len(open)) * shortLoad / (shortLoad + longLoad)))
+	side := int(math.Round(float64(len(available)) * shortLoad / (shortLoad + longLoad)))
 	// The short side keeps the replicas that its load needs, even when long-prompt requests queue
 	// up.
-	minimum := int(math.Ceil(u.split.shortLoad * usual / atMost))
-	return min(max(side, minimum, 1), len(open)-1)
+	minimum := int(math.Ceil(u.split.shortLoad * target / maximum))
+	return min(max(side, minimum, 1), len(available)-1)
 }
 
 // assumedDemand is added to each side's load, in replicas, so that an idle side has room for
 // its first requests.
 const assumedDemand = 0.3
 
-// updateAverages updates the average loads. usualShort is the target number of short-prompt
+// updateAverages updates the average loads. shortTarget is the target number of short-prompt
 // requests per replica.
-func (u *upstream) updateAverages(now time.Time, open []*replicaState, usualShort float64) {
+func (u *upstream) updateAverages(now time.Time, available []*replicaState, shortTarget float64) {
 	runningShort, running, own := 0, 0, 0
-	for _, s := range open {
+	for _, s := range available {
 		own += s.running
 		runningShort += s.runningShort + s.peersRunningShort
 		running += s.running + s.peersRunning
@@ -116,7 +116,7 @@
 	u.split.updatedAt = now
 	decay := math.Exp(-elapsed.Seconds() / splitAveragingTime.Seconds())
 	u.updateRunningAverages(elapsed, own, running)
-	u.split.shortLoad = decay*u.split.shortLoad + (1-decay)*float64(runningShort)/usualShort
+	u.split.shortLoad = decay*u.split.shortLoad + (1-decay)*float64(runningShort)/shortTarget
 	u.split.longLoad = decay*u.split.longLoad + (1-decay)*float64(running-runningShort)/longPerReplica
 }
 
@@ -127,10 +127,11 @@
 		return 0
 	}
 	stall := u.prefillSpeed.PrefillMS(s.pendingPrefill() + uncached)
-	part := min(max((stall-stallFrom)/(stallTo-stallFrom), 0), 1)
-	return part * stallCost * float64(s.runningShort+s.peersRunningShort)
+	fraction := min(max((stall-stallStartMS)/(stallFullMS-stallStartMS), 0), 1)
+	return fraction * stallCost * float64(s.runningShort+s.peersRunningShort)
 }
 
+// sideCost returns the cost of a replica on the side of the other classes.
 func (u *upstream) sideCost(r *Request, onShortSide bool) float64 {
 	switch {
 	case r.PromptTokens == 0 || u.hasLongPrompts(r) != onShortSide:
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -25,8 +25,8 @@
 	// failureScore decays with failureHalfLife; scoredAt is when it was last computed.
 	failureScore float64
 	scoredAt     time.Time
-	// lastDataAt is when data was last received from the replica; waitingSince is the start of the
-	// oldest attempt that has been waiting since.
+	// lastDataAt is when data was last received from the replica. waitingSince is when this node
+	// sent a request to the replica after a time without attempts there; zero: none was sent.
 	lastDataAt   time.Time
 	waitingSince time.Time
 	cache        cache
--- a/internal/placement/upstream.go
+++ b/internal/placement/upstream.go
@@ -17,7 +17,8 @@
 // observation.
 const initialServiceMS = 30.0
 
-const serviceWeight = 0.05
+// serviceTimeWeight is the weight of one observation in a plain service's average answer time.
+const serviceTimeWeight = 0.05
 
 // upstream is the state of one upstream's replicas.
 type upstream struct {
@@ -28,8 +29,9 @@
 	states map[string]*replicaState
 	// all is the values of states, for faster iteration.
 	all []*replicaState
-	// lastReplicas is the replicas that states were last updated for, available the states of
-	// those that accept new requests, in the order of availableReplicas.
+	// lastReplicas is the argument of the last syncReplicas that changed the states. available
+	// holds the states of those replicas that accept new requests, in the order of
+	// availableReplicas.
 	lastReplicas []replica.Replica
 	available    []*replicaState
 	// serviceMS is the average answer time of a plain service.
@@ -45,17 +47,17 @@
 	// permits are the rate limit permits; nil: rates are not enforced.
 	permits      *ratelimit.Permits
 	prefillSpeed *enginespeed.Estimator
-	// usualPromptTokens is the average prompt length by class.
-	usualPromptTokens map[string]float64
-	split             split
+	// avgPromptTokens is the average prompt length by class.
+	avgPromptTokens map[string]float64
+	split           split
 	// recentPlacements is where prompts were recently sent, for announcement to other nodes.
 	recentPlacements placements
-	// backlogScratch is a reused buffer of medianPrefillMS.
+	// backlogScratch is a buffer that medianPrefillMS reuses to avoid an allocation per request.
 	backlogScratch []int
 }
 
 func newUpstream(zone string, random *rand.Rand) *upstream {
-	return &upstream{zone: zone, rand: random, states: make(map[string]*replicaState), serviceMS: initialServiceMS, prefillSpeed: enginespeed.NewEstimator(), usualPromptTokens: make(map[string]float64)}
+	return &upstream{zone: zone, rand: random, states: make(map[string]*replicaState), serviceMS: initialServiceMS, prefillSpeed: enginespeed.NewEstimator(), avgPromptTokens: make(map[string]float64)}
 }
 
 // syncReplicas updates the states to the known replicas. The lock is held.
@@ -114,19 +116,19 @@
 func (u *upstream) choose(now time.Time, r *Request, replicas []replica.Replica) *decision {
 	u.syncReplicas(replicas)
 	u.learnPrompt(r)
-	open := u.available
-	shortSide := u.shortSideSize(now, r, open)
-	side := open[shortSide:]
+	states := u.available
+	shortCount := u.shortSideSize(now, r, states)
+	side := states[shortCount:]
 	if !u.hasLongPrompts(r) {
-		side = open[:shortSide]
+		side = states[:shortCount]
 	}
-	location := locatePrefix(now, r, open, side)
+	location := locatePrefix(now, r, states, side)
 	recompute := recomputeCost * (1 + u.medianPrefillMS(side)/backlogDoublingMS)
-	share := u.candidateShare(side)
-	best, lowest := u.cheapest(now, r, shortSide, &location, recompute, share)
-	if best == nil && share < 1 {
+	fraction := u.candidateFraction(side)
+	best, lowest := u.cheapest(now, r, shortCount, &location, recompute, fraction)
+	if best == nil && fraction < 1 {
 		// All sampled replicas were rate limited with no permit left; consider all.
-		best, lowest = u.cheapest(now, r, shortSide, &location, recompute, 1)
+		best, lowest = u.cheapest(now, r, shortCount, &location, recompute, 1)
 	}
 	if best == nil {
 		return nil
@@ -134,21 +136,21 @@
 	return newDecision(now, r, best, lowest, &location)
 }
 
-// cheapest returns the replica of lowest cost, and that cost, among a random share of the
-// available ones, of which the first shortSide form the short side. It returns nil if none may
-// be used.
-func (u *upstream) cheapest(now time.Time, r *Request, shortSide int, location *prefixLocation, recompute, share float64) (*replicaState, float64) {
+// cheapest returns the replica of lowest cost, and that cost, among a random fraction of the
+// available ones, of which the first shortCount form the short side. If no sampled replica may be
+// used, it also considers the last available one. It returns nil if none may be used.
+func (u *upstream) cheapest(now time.Time, r *Request, shortCount int, location *prefixLocation, recompute, fraction float64) (*replicaState, float64) {
 	var best *replicaState
 	lowest := math.Inf(1)
 	limits := u.rateLimits(now)
 	limits.excludeLimited = r.ExcludeRateLimited
 	for i, s := range u.available {
-		if !u.isCandidate(s, location, share) && (best != nil || i < len(u.available)-1) {
+		if !u.isCandidate(s, location, fraction) && (best != nil || i < len(u.available)-1) {
 			continue
 		}
 		// Random jitter keeps nodes with the same view from all choosing the same replica.
 		cost := u.cost(now, r, s, location, recompute)*(1+costJitter*u.rand.Float64()) + tieSpread*u.rand.Float64()
-		cost += u.sideCost(r, i < shortSide)
+		cost += u.sideCost(r, i < shortCount)
 		if cost < lowest && limits.allows(s) {
 			best, lowest = s, cost
 		}
--- a/internal/replica/delta.go
+++ b/internal/replica/delta.go
@@ -21,17 +21,17 @@
 
 func diffListings(old, next Listing) Delta {
 	delta := Delta{From: old.Digest}
-	left := make(map[string]Replica, len(old.Replicas))
+	remaining := make(map[string]Replica, len(old.Replicas))
 	for _, r := range old.Replicas {
-		left[r.ID] = r
+		remaining[r.ID] = r
 	}
 	for _, r := range next.Replicas {
-		if was, had := left[r.ID]; !had || was != r {
+		if previous, had := remaining[r.ID]; !had || previous != r {
 			delta.Changed = append(delta.Changed, r)
 		}
-		delete(left, r.ID)
+		delete(remaining, r.ID)
 	}
-	delta.Removed = slices.Sorted(maps.Keys(left))
+	delta.Removed = slices.Sorted(maps.Keys(remaining))
 	return delta
 }
 
@@ -49,11 +49,11 @@
 			removed[id] = true
 		}
 	}
-	joined := Delta{From: d.From, Removed: slices.Sorted(maps.Keys(removed))}
+	composed := Delta{From: d.From, Removed: slices.Sorted(maps.Keys(removed))}
 	for _, id := range slices.Sorted(maps.Keys(changed)) {
-		joined.Changed = append(joined.Changed, changed[id])
+		composed.Changed = append(composed.Changed, changed[id])
 	}
-	return joined
+	return composed
 }
 
 // Apply returns a copy of list with the delta applied.
@@ -94,9 +94,9 @@
 	if first < 0 {
 		return Delta{}, false
 	}
-	joined := s.deltas[first]
+	composed := s.deltas[first]
 	for _, delta := range s.deltas[first+1:] {
-		joined = joined.compose(delta)
+		composed = composed.compose(delta)
 	}
-	return joined, true
+	return composed, true
 }
--- a/internal/replica/delta_test.go
+++ b/internal/replica/delta_test.go
@@ -75,6 +75,6 @@
 		t.Errorf("%v allocations for a listing of the same replicas, want 0", allocations)
 	}
 	if newest, readAt := s.Latest(); newest.Revision != revision || readAt != at(int(revision)*100) {
-		t.Errorf("latest listing has revision %d and was read at %v", newest.Revision, readAt)
+		t.Errorf("latest listing has revision %d and was read at %v, want those of the last update", newest.Revision, readAt)
 	}
 }
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -13,8 +13,8 @@
 	// outageGap is the time between two reads from which the store counts as unavailable: reads
 	// are made at least once a second.
 	outageGap = 2 * time.Second
-	// outageGrace is how long a replica that is missing after an outage is kept: according to the
-	// platform, registrations that expired in an outage are back about two seconds after its end.
+	// outageGrace is how long a replica that is missing after an outage is kept. The platform
+	// documents that registrations that expired in an outage return about two seconds after it.
 	outageGrace = 2 * time.Second
 )
 
@@ -24,7 +24,7 @@
 	listing          Listing
 	readAt           boottime.Instant
 	keepMissingUntil boottime.Instant
-	// deltas lead from earlier listings to the current one, oldest first.
+	// deltas are the differences between successive listings up to the current one, oldest first.
 	deltas []Delta
 	// known is the replicas of the listing and those kept after an outage, by ID.
 	known      map[string]Replica
@@ -81,6 +81,7 @@
 	return next
 }
 
+// setKnown replaces the known replicas and returns the changes. The lock is held.
 func (s *Set) setKnown(next map[string]Replica) []Change {
 	var changes []Change
 	for id, r := range next {
--- a/internal/replica/set_test.go
+++ b/internal/replica/set_test.go
@@ -31,10 +31,10 @@
 	s.Update(listing(1, "a", "b"), at(1000), at(1010))
 	changes := s.Update(listing(2, "a"), at(1600), at(1610))
 	if !slices.Equal(ids(s), []string{"a"}) || s.Usable("b") {
-		t.Errorf("replicas %v", ids(s))
+		t.Errorf("replicas %v, want only a, with b not usable", ids(s))
 	}
 	if len(changes) != 1 || changes[0].Kind != Removed || changes[0].Replica.ID != "b" {
-		t.Errorf("changes %v", changes)
+		t.Errorf("changes %v, want the removal of b", changes)
 	}
 }
 
@@ -56,7 +56,7 @@
 	s := NewSet()
 	s.Update(listing(5, "a", "b"), at(1000), at(1010))
 	if changes := s.Update(listing(4, "a"), at(1100), at(1110)); changes != nil || len(ids(s)) != 2 {
-		t.Errorf("changes %v, replicas %v", changes, ids(s))
+		t.Errorf("older listing: changes %v, replicas %v, want no changes and both replicas", changes, ids(s))
 	}
 }
 
@@ -67,6 +67,6 @@
 	draining.Replicas[0].Draining = true
 	changes := s.Update(draining, at(1500), at(1510))
 	if s.Usable("a") || len(ids(s)) != 1 || len(changes) != 1 || changes[0].Kind != StartedDraining {
-		t.Errorf("usable %v, replicas %v, changes %v", s.Usable("a"), ids(s), changes)
+		t.Errorf("usable %v, replicas %v, changes %v; want a listed, not usable and changed to draining", s.Usable("a"), ids(s), changes)
 	}
 }
