--- a/internal/overload/doc.go
+++ b/internal/overload/doc.go
@@ -1,12 +1,11 @@
-// Package overload decides which requests for an engine are turned away, and when
-// their callers should come back.
+// Package overload implements admission control for inference engines: it refuses
+// requests that would wait too long and suggests when to retry them.
 //
-// It answers the load pattern in which prompts come faster than the replicas read
-// them: a burst of long prompts, or cold caches after a start. Queues then grow
-// until nothing is on time. A request that would wait too long is refused at once,
-// before it costs anything, so that those that are let in are still of use; and
-// while a request of some rank is refused, those of less urgent ranks are too.
+// It handles prompts that arrive faster than replicas prefill them, as in a burst of
+// long prompts or with cold caches after a start. Without it queues grow until every
+// request misses its objective. While a request of some rank is refused, requests of
+// less urgent ranks are refused too.
 //
-// The decisions are pure: they take the time. They hold soft state, a few times for
-// each upstream under a lock each. A platform outage does not touch it.
+// The caller passes the current time. State is in memory, per upstream, and does not
+// depend on the platform.
 package overload
--- a/internal/overload/gate.go
+++ b/internal/overload/gate.go
@@ -6,50 +6,47 @@
 )
 
 const (
-	// lateFactor times the objective is the expected time to the first token from
-	// which a request is refused.
-	lateFactor = 1.5
-	// queueShare is the part of the time that a caller waits at most which may pass in
-	// the queue. While a replica reads what waits there, the answers that run make
-	// little way: where each may wait for longer, those with many tokens reach their
-	// deadline unfinished.
-	queueShare = 0.2
-	// leastAllowed is the part of the objective that a request may wait at least: a
-	// prompt that is long by itself is no reason to refuse it on an idle replica.
-	leastAllowed = 0.25
-	// fullFrom is the part of a replica's memory, with each running request's whole
-	// prompt counted, from which it gets no more. Replicas that are given more put
-	// running requests back and read their prompts again and again.
-	fullFrom = 0.75
-	// closedFor is how long less urgent requests are refused after a more urgent one
-	// was: some rounds of news between nodes, in which the loads that it was refused
-	// for become known.
-	closedFor = time.Second
-	// leastReturn is the shortest time after which a refused caller should come back:
-	// some rounds of news between nodes.
-	leastReturn = 400 * time.Millisecond
-	// returnShare is the part of the time left after which a caller had better not come
-	// back: the rest is for its answer. Callers wait no longer than that.
-	returnShare = 1.0 / 3
+	// objectiveFactor times the objective is the longest accepted time to the first
+	// token.
+	objectiveFactor = 1.5
+	// maxQueueFraction is the fraction of the time left that a request may spend until
+	// the end of its prefill. Prefill of queued prompts slows down decoding, so with a
+	// larger fraction long responses would miss their deadlines.
+	maxQueueFraction = 0.2
+	// minQueueFraction is the fraction of the objective that any request may wait in
+	// the queue, so that a long prompt is not refused by an idle replica.
+	minQueueFraction = 0.25
+	// memoryThreshold is the fraction of a replica's memory, counting the whole prompt
+	// of each running request, above which it gets no more requests. Beyond it engines
+	// preempt running requests and repeat their prefill.
+	memoryThreshold = 0.75
+	// refusalWindow is how long less urgent requests are refused after a more urgent
+	// one was. It covers several load exchanges between nodes.
+	refusalWindow = time.Second
+	// minRetryDelay covers several load exchanges between nodes.
+	minRetryDelay = 400 * time.Millisecond
+	// maxRetryFraction is the largest fraction of the time left to spend on waiting
+	// before a retry. The rest is for the response.
+	maxRetryFraction = 1.0 / 3
 )
 
-// Gate decides for one upstream. It is safe for concurrent use.
+// Gate is the admission control of one upstream. It is safe for concurrent use.
 type Gate struct {
 	mu sync.Mutex
-	// refusedRank is the most urgent rank that was refused for its own sake, at
-	// refusedAt; zero: none was.
+	// refusedRank is the most urgent rank refused within refusalWindow for a reason
+	// other than MoreUrgentRefused, and refusedAt the time; zero: none.
 	refusedRank int
 	refusedAt   time.Time
 }
 
-// Decide says whether the request is let in.
+// Decide admits or refuses the request.
 func (g *Gate) Decide(now time.Time, r Request) Decision {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	reason := r.reason()
+	reason := r.refusalReason()
 	if reason != "" {
-		g.note(now, r.Rank)
-	} else if g.closed(now, r.Rank) {
+		g.recordRefusal(now, r.Rank)
+	} else if g.blocksRank(now, r.Rank) {
 		reason = MoreUrgentRefused
 	}
 	if reason == "" {
@@ -58,52 +55,52 @@
 	return Decision{Reason: reason, RetryAfter: RetryDelay(r.QueueTime, r.TimeLeft)}
 }
 
-// RetryDelay is when a refused caller should come back: when what is ahead of it is over, as
-// far as the time left to it allows; zero or less left: not known.
-func RetryDelay(ahead, left time.Duration) time.Duration {
-	after := max(ahead, leastReturn)
-	if left > 0 {
-		after = min(after, time.Duration(returnShare*float64(left)))
+// RetryDelay returns how long a refused caller should wait before it retries: the expected
+// queue time, limited to a fraction of the time left. A timeLeft of zero or less is unknown.
+func RetryDelay(queueTime, timeLeft time.Duration) time.Duration {
+	delay := max(queueTime, minRetryDelay)
+	if timeLeft > 0 {
+		delay = min(delay, time.Duration(maxRetryFraction*float64(timeLeft)))
 	}
-	return after
+	return delay
 }
 
-// reason is why the request is refused for its own sake; empty: it is not.
-func (r *Request) reason() Reason {
+// refusalReason returns why the request is refused regardless of other requests; empty: it
+// is not.
+func (r *Request) refusalReason() Reason {
 	switch {
-	case r.MemoryUsed > fullFrom:
+	case r.MemoryUsed > memoryThreshold:
 		return MemoryFull
-	case r.Objective > 0 && r.QueueTime > r.allowed():
+	case r.Objective > 0 && r.QueueTime > r.allowedQueueTime():
 		return TooLate
 	default:
 		return ""
 	}
 }
 
-// allowed is the longest time that the request may wait for its turn.
-func (r *Request) allowed() time.Duration {
-	whole := time.Duration(lateFactor * float64(r.Objective))
+// allowedQueueTime returns the longest time that the request may wait for its prefill.
+func (r *Request) allowedQueueTime() time.Duration {
+	maxTotal := time.Duration(objectiveFactor * float64(r.Objective))
 	if r.TimeLeft > 0 {
-		whole = min(whole, time.Duration(queueShare*float64(r.TimeLeft)))
+		maxTotal = min(maxTotal, time.Duration(maxQueueFraction*float64(r.TimeLeft)))
 	}
-	least := time.Duration(leastAllowed * float64(r.Objective))
-	return max(whole-r.OwnPrefill, least)
+	minAllowed := time.Duration(minQueueFraction * float64(r.Objective))
+	return max(maxTotal-r.OwnPrefill, minAllowed)
 }
 
-// closed says whether requests of the rank are refused for a more urgent one.
-func (g *Gate) closed(now time.Time, rank int) bool {
-	return rank > g.refusedRank && g.recent(now)
+// blocksRank reports whether the rank is refused because a more urgent one was.
+func (g *Gate) blocksRank(now time.Time, rank int) bool {
+	return rank > g.refusedRank && g.refusedRecently(now)
 }
 
-// recent says whether a refusal was noted lately.
-func (g *Gate) recent(now time.Time) bool {
-	return !g.refusedAt.IsZero() && now.Sub(g.refusedAt) < closedFor
+func (g *Gate) refusedRecently(now time.Time) bool {
+	return !g.refusedAt.IsZero() && now.Sub(g.refusedAt) < refusalWindow
 }
 
-// note remembers a refusal. One of a less urgent rank does not replace that of a
-// more urgent one while it counts.
-func (g *Gate) note(now time.Time, rank int) {
-	if g.recent(now) && rank > g.refusedRank {
+// recordRefusal records a refusal. A less urgent rank does not replace a more urgent one
+// within refusalWindow.
+func (g *Gate) recordRefusal(now time.Time, rank int) {
+	if g.refusedRecently(now) && rank > g.refusedRank {
 		return
 	}
 	g.refusedRank, g.refusedAt = rank, now
--- a/internal/overload/request.go
+++ b/internal/overload/request.go
@@ -2,21 +2,19 @@
 
 import "time"
 
-// Request is what the decision needs to know.
+// Request is the input of an admission decision.
 type Request struct {
 	// Rank is the urgency; 0 is the most urgent.
 	Rank int
-	// Objective is the time within which the first token is on time; zero: none is
-	// set, and the request is never too late.
+	// Objective is the target for the time to first token; zero: none.
 	Objective time.Duration
-	// TimeLeft is the time until the caller gives up or the route's timeout; zero: not
-	// known.
+	// TimeLeft is the time until the request's deadline; zero: not known.
 	TimeLeft time.Duration
-	// QueueTime is the expected time until the best replica begins to read the prompt,
-	// and Own that for reading it.
+	// QueueTime is the expected time until the best replica starts the prefill, and
+	// OwnPrefill the expected duration of the prefill.
 	QueueTime  time.Duration
 	OwnPrefill time.Duration
-	// MemoryUsed is the part of that replica's memory that its requests take with
-	// this one.
+	// MemoryUsed is the fraction of that replica's memory that its requests and this
+	// one take.
 	MemoryUsed float64
 }
--- a/internal/overload/verdict.go
+++ b/internal/overload/verdict.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Reason is one entry of the closed list of why a request is turned away.
+// Reason is why a request is refused.
 type Reason string
 
-// The reasons; the empty one admits.
+// The reasons. The empty reason means that the request is admitted.
 const (
-	// TooLate requests would get their first token too late.
+	// TooLate means that the expected queue time is too long for the objective or the deadline.
 	TooLate Reason = "late"
-	// MemoryFull requests find no replica with memory for them.
+	// MemoryFull means that no replica has enough memory.
 	MemoryFull Reason = "memory_full"
-	// MoreUrgentRefused requests came while more urgent ones were turned away.
+	// MoreUrgentRefused means that a more urgent request was refused shortly before.
 	MoreUrgentRefused Reason = "more_urgent_refused"
 )
 
-// Decision says what becomes of a request.
+// Decision is the result of Gate.Decide.
 type Decision struct {
-	// Reason is empty for a request that is let in.
+	// Reason is empty for an admitted request.
 	Reason Reason
-	// RetryAfter is when the caller of a refused request should come back.
+	// RetryAfter is how long the caller of a refused request should wait.
 	RetryAfter time.Duration
 }
 
-// Refused says whether the request is turned away.
+// Refused reports whether the request is refused.
 func (v Decision) Refused() bool { return v.Reason != "" }
