--- a/internal/ratelimit/answer.go
+++ b/internal/ratelimit/answer.go
@@ -5,15 +5,15 @@
 	"galenatrestle/internal/replica"
 )
 
-// Observation is what one answer of a replica says of its rate.
+// Observation is what one response of a replica says about its rate limit.
 type Observation struct {
 	Replica replica.Replica
-	// Limited says that the answer names a rate, PerSecond.
+	// Limited reports whether the response carries a rate limit, PerSecond.
 	Limited   bool
 	PerSecond float64
-	// Succeeded answers are the replica's own to a request that it ran well. One without a
-	// rate lifts an earlier limit; a failure without one says nothing.
+	// Succeeded reports whether the replica itself executed the request successfully. Such a
+	// response without a rate lifts an earlier limit; a failure without a rate does not.
 	Succeeded bool
-	// SentAt is when the request was sent, ReceivedAt when the head of its answer came.
+	// SentAt is when the request was sent, ReceivedAt when the response head was received.
 	SentAt, ReceivedAt boottime.Instant
 }
--- a/internal/ratelimit/doc.go
+++ b/internal/ratelimit/doc.go
@@ -1,11 +1,12 @@
-// Package ratelimit keeps all nodes together to the request rates that replicas name in
-// their answers.
+// Package ratelimit enforces, across all nodes, the request rates that replicas announce in
+// their responses.
 //
-// What a replica named spreads between the nodes (package nodesync). For each such replica
-// one node issues permits at the rate named; a request that would go there asks it for one,
-// and without one goes elsewhere. Table, Issuer and Permits decide; Exchange carries asks.
+// Nodes replicate the announced limits among each other (package nodesync). For each limited
+// replica one node issues permits at the announced rate. A request needs a permit to be sent
+// to such a replica, and goes to another replica without one. Exchange is the RPC between
+// nodes.
 //
-// It holds soft state, one entry for each replica that named a rate and is still registered.
-// A platform outage does not touch it. Without the issuer there are no permits; a new issuer
-// begins with none to give.
+// State is in memory, one entry for each registered replica that announced a rate, and does
+// not depend on the platform. While the issuer is unreachable there are no permits. A new
+// issuer starts with an empty bucket.
 package ratelimit
--- a/internal/ratelimit/events.go
+++ b/internal/ratelimit/events.go
@@ -6,14 +6,14 @@
 	"galenatrestle/internal/eventlog"
 )
 
-// LimitChanged tells that a replica named another rate than before, or none any more.
+// LimitChanged is logged when a replica announces another rate than before, or none.
 type LimitChanged struct {
 	Limit Limit
-	// Request is the request whose answer said so, where it was this node's; From is the
-	// node that told it, where it was another one.
+	// Request is the ID of the request whose response carried the change, if this node sent
+	// it; otherwise From is the node that reported the change.
 	Request string
 	From    string
-	// Age is the time since that answer.
+	// Age is the time since that response.
 	Age time.Duration
 }
 
--- a/internal/ratelimit/exchange.go
+++ b/internal/ratelimit/exchange.go
@@ -13,39 +13,41 @@
 	"galenatrestle/internal/peer"
 )
 
-// askTimeout bounds one ask, for which a request waits; nodes are a few milliseconds apart.
-const askTimeout = 100 * time.Millisecond
+// permitTimeout bounds a permit request, since a caller's request waits for it. The round-trip
+// time between nodes is a few milliseconds.
+const permitTimeout = 100 * time.Millisecond
 
-// Options are what an Exchange works with.
+// Options configures an Exchange.
 type Options struct {
 	Table  *Table
 	Issuer *Issuer
 	// Self is this node's name.
 	Self string
-	// IssuerOf is the node that issues the permits of the replica, by name and peer
-	// address.
+	// IssuerOf returns the name and peer address of the node that issues permits for the
+	// replica.
 	IssuerOf func(replica string) (name, address string)
-	// Share is the part of the rates that this node may issue: less than all where some
-	// of the nodes can't be heard, which may have an issuer of their own.
+	// Share returns the fraction of each rate that this node may issue. It is below 1 while
+	// some nodes are unreachable, since they may have chosen another issuer.
 	Share func() float64
-	// IsRegistered says whether the process of the replica is registered.
+	// IsRegistered reports whether this process of the replica is registered.
 	IsRegistered func(replica string, startedAt int64) bool
 	Clients      *peer.Clients
 	Registry     prometheus.Registerer
 }
 
-// Exchange asks other nodes for permits, and answers them. It is safe for concurrent use.
+// Exchange is the client and the server of the permit RPC between nodes. It is safe for
+// concurrent use.
 type Exchange struct {
-	options Options
-	asked   *prometheus.CounterVec
+	options  Options
+	requests *prometheus.CounterVec
 }
 
-// NewExchange returns an exchange between this node and the others.
+// NewExchange returns an exchange and registers its metrics.
 func NewExchange(options Options) *Exchange {
-	e := &Exchange{options: options, asked: prometheus.NewCounterVec(prometheus.CounterOpts{
+	e := &Exchange{options: options, requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "trestle_rate_permits_total", Help: "Asks of this node for a permit of a replica that names a rate: given, refused or unanswered.",
 	}, []string{"result"})}
-	options.Registry.MustRegister(e.asked)
+	options.Registry.MustRegister(e.requests)
 	return e
 }
 
@@ -54,7 +56,7 @@
 	return ratelimitv1connect.NewRateLimitServiceHandler(e)
 }
 
-// RequestPermit asks the replica's issuer for a permit under the limit.
+// RequestPermit requests a permit under the limit from the replica's issuer.
 func (e *Exchange) RequestPermit(ctx context.Context, l Limit) (Grant, error) {
 	name, address := e.options.IssuerOf(l.Replica)
 	var grant Grant
@@ -62,14 +64,14 @@
 	if name == e.options.Self {
 		grant = e.issue(l)
 	} else {
-		grant, err = e.call(ctx, address, l)
+		grant, err = e.requestFromPeer(ctx, address, l)
 	}
 	grant.Issuer = name
-	e.asked.WithLabelValues(resultOf(grant, err)).Inc()
+	e.requests.WithLabelValues(permitResult(grant, err)).Inc()
 	return grant, err
 }
 
-func resultOf(grant Grant, err error) string {
+func permitResult(grant Grant, err error) string {
 	switch {
 	case err != nil:
 		return "unanswered"
@@ -80,9 +82,8 @@
 	}
 }
 
-// call asks another node.
-func (e *Exchange) call(ctx context.Context, address string, l Limit) (Grant, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (e *Exchange) requestFromPeer(ctx context.Context, address string, l Limit) (Grant, error) {
+	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	client := ratelimitv1connect.NewRateLimitServiceClient(e.options.Clients.HTTPClient(address), e.options.Clients.URL(address))
 	response, err := client.Acquire(ctx, connect.NewRequest(&ratelimitv1.AcquireRequest{Limit: limitToProto(l, e.options.Table.Now())}))
@@ -94,22 +95,22 @@
 
 // Acquire implements ratelimitv1connect.RateLimitServiceHandler.
 func (e *Exchange) Acquire(_ context.Context, request *connect.Request[ratelimitv1.AcquireRequest]) (*connect.Response[ratelimitv1.AcquireResponse], error) {
-	told := limitFromProto(request.Msg.GetLimit(), e.options.Table.Now())
+	requested := limitFromProto(request.Msg.GetLimit(), e.options.Table.Now())
 	grant := Grant{RetryAfter: unansweredPause}
-	// Two nodes that both issue would give twice the rate: one that does not take itself
-	// for the issuer gives nothing until both agree.
-	if name, _ := e.options.IssuerOf(told.Replica); name == e.options.Self && e.options.IsRegistered(told.Replica, told.StartedAt) {
-		grant = e.issue(told)
+	// Two issuers at once would exceed the rate, so a node issues permits only if it
+	// considers itself the issuer.
+	if name, _ := e.options.IssuerOf(requested.Replica); name == e.options.Self && e.options.IsRegistered(requested.Replica, requested.StartedAt) {
+		grant = e.issue(requested)
 	}
 	return connect.NewResponse(&ratelimitv1.AcquireResponse{Given: grant.Granted, RetryAfter: grant.RetryAfter.Microseconds()}), nil
 }
 
-// issue gives a permit by the newest limit that this node and the asking one know.
-func (e *Exchange) issue(told Limit) Grant {
-	limit := e.options.Table.Newest(told)
+// issue issues a permit under the newer of the requested limit and the one in the table.
+func (e *Exchange) issue(requested Limit) Grant {
+	limit := e.options.Table.Newest(requested)
 	if limit.Lifted {
-		// The asking node hears of it soon.
-		return Grant{RetryAfter: leastPause}
+		// The requesting node will learn soon that the limit was lifted.
+		return Grant{RetryAfter: minPause}
 	}
 	return e.options.Issuer.Issue(time.Now(), limit, e.options.Share())
 }
--- a/internal/ratelimit/exchange_test.go
+++ b/internal/ratelimit/exchange_test.go
@@ -10,68 +10,70 @@
 	ratelimitv1 "galenatrestle/internal/gen/trestle/ratelimit/v1"
 )
 
-// exchange is the node vm-1, where the other node issues or not.
-func exchange(issuer string, table *Table, known bool) *Exchange {
+// newTestExchange returns the exchange of node vm-1, which considers the given node the
+// issuer.
+func newTestExchange(issuer string, table *Table, registered bool) *Exchange {
 	return NewExchange(Options{
 		Table: table, Issuer: NewIssuer(), Self: "vm-1",
 		IssuerOf: func(string) (string, string) { return issuer, "" },
-		Share:    func() float64 { return 1 }, IsRegistered: func(string, int64) bool { return known },
+		Share:    func() float64 { return 1 }, IsRegistered: func(string, int64) bool { return registered },
 		Registry: prometheus.NewRegistry(),
 	})
 }
 
-// limitAt is a high rate, named so long after the start.
+// limitAt returns a high limit observed ms milliseconds after the start.
 func limitAt(ms int, lifted bool) Limit {
 	return Limit{Replica: "i-1", PerSecond: 1e6, Lifted: lifted, ObservedAt: at(ms)}
 }
 
-// acquire asks twice, since a new issuer has nothing to give at first.
-func acquire(t *testing.T, e *Exchange, l Limit) bool {
+// acquireTwice reports whether one of two permit requests is granted. Two are needed, since
+// a new issuer's bucket starts empty.
+func acquireTwice(t *testing.T, e *Exchange, l Limit) bool {
 	t.Helper()
 	request := connect.NewRequest(&ratelimitv1.AcquireRequest{Limit: limitToProto(l, e.options.Table.Now())})
-	given := false
+	granted := false
 	for range 2 {
 		response, err := e.Acquire(t.Context(), request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		given = given || response.Msg.GetGiven()
+		granted = granted || response.Msg.GetGiven()
 		if !response.Msg.GetGiven() && response.Msg.GetRetryAfter() < 0 {
-			t.Errorf("retry after %d", response.Msg.GetRetryAfter())
+			t.Errorf("retry_after is negative: %d", response.Msg.GetRetryAfter())
 		}
 	}
-	return given
+	return granted
 }
 
-func TestOnlyTheIssuerOfARegisteredReplicaGivesPermits(t *testing.T) {
+func TestOnlyTheIssuerOfARegisteredReplicaGrantsPermits(t *testing.T) {
 	table := func() *Table { return NewTable(func() boottime.Instant { return at(100) }) }
-	if !acquire(t, exchange("vm-1", table(), true), limitAt(50, false)) {
-		t.Error("the issuer gives none under a limit that it is told with the ask")
+	if !acquireTwice(t, newTestExchange("vm-1", table(), true), limitAt(50, false)) {
+		t.Error("the issuer granted no permit under the limit in the request")
 	}
-	if acquire(t, exchange("vm-2", table(), true), limitAt(50, false)) {
-		t.Error("a node that takes another one for the issuer gives permits, too")
+	if acquireTwice(t, newTestExchange("vm-2", table(), true), limitAt(50, false)) {
+		t.Error("a node that considers another node the issuer granted a permit")
 	}
-	if acquire(t, exchange("vm-1", table(), false), limitAt(50, false)) {
-		t.Error("permits of a replica that is not registered")
+	if acquireTwice(t, newTestExchange("vm-1", table(), false), limitAt(50, false)) {
+		t.Error("a permit was granted for an unregistered replica")
 	}
 	lifted := table()
 	lifted.Merge([]Limit{limitAt(60, true)})
-	if acquire(t, exchange("vm-1", lifted, true), limitAt(50, false)) {
-		t.Error("permits under a limit that was lifted since")
+	if acquireTwice(t, newTestExchange("vm-1", lifted, true), limitAt(50, false)) {
+		t.Error("a permit was granted under a limit lifted since")
 	}
 }
 
-func TestThisNodesOwnAsksAreAnsweredHere(t *testing.T) {
-	e := exchange("vm-1", NewTable(func() boottime.Instant { return at(100) }), true)
-	given := false
+func TestRequestPermitIssuesLocallyOnTheIssuer(t *testing.T) {
+	e := newTestExchange("vm-1", NewTable(func() boottime.Instant { return at(100) }), true)
+	granted := false
 	for range 2 {
 		grant, err := e.RequestPermit(t.Context(), limitAt(50, false))
 		if err != nil {
 			t.Fatal(err)
 		}
-		given = given || grant.Granted
+		granted = granted || grant.Granted
 	}
-	if !given {
-		t.Error("no permit")
+	if !granted {
+		t.Error("no permit was granted")
 	}
 }
--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -8,39 +8,38 @@
 )
 
 const (
-	// leastRate is the permits a second for a replica that names less: without any
-	// request nobody would learn that it takes more again.
-	leastRate = 0.1
-	// keptFor is the time for which permits that nobody asked for are kept: requests come
-	// unevenly, and a permit that is lost is a request that another replica must take.
-	keptFor = time.Second
+	// minRate is the lowest rate of permits, in permits per second. Without any request
+	// nodes would not learn that the replica raised or lifted its limit.
+	minRate = 0.1
+	// burstWindow is how long unused permits accumulate, since requests arrive unevenly.
+	burstWindow = time.Second
 )
 
-// Issuer gives out the permits of the replicas for which this node is responsible. It is
-// safe for concurrent use.
+// Issuer issues permits for the replicas that this node is responsible for. It is safe for
+// concurrent use.
 type Issuer struct {
 	mu      sync.Mutex
 	buckets map[string]*rate.Limiter
 }
 
-// NewIssuer returns an issuer that begins without any permit to give.
+// NewIssuer returns an issuer. Its buckets start empty.
 func NewIssuer() *Issuer { return &Issuer{buckets: make(map[string]*rate.Limiter)} }
 
-// Grant is the answer to an ask for a permit.
+// Grant is the result of a permit request.
 type Grant struct {
 	Granted bool
-	// Issuer is the name of the node that answered.
+	// Issuer is the name of the issuing node.
 	Issuer string
-	// RetryAfter is when the next permit may be there, where none is given.
+	// RetryAfter is the time until the next permit may be available, if none was granted.
 	RetryAfter time.Duration
 }
 
-// Issue gives a permit if one is left of the limit's rate, of which this node may use a
-// share.
+// Issue grants a permit if the replica's token bucket has one. The bucket is filled at share
+// times the limit's rate.
 func (i *Issuer) Issue(now time.Time, l Limit, share float64) Grant {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	b := i.bucket(now, l.Replica, max(l.PerSecond*share, leastRate))
+	b := i.bucket(now, l.Replica, max(l.PerSecond*share, minRate))
 	if b.AllowN(now, 1) {
 		return Grant{Granted: true}
 	}
@@ -48,17 +47,17 @@
 	return Grant{RetryAfter: time.Duration(missing / float64(b.Limit()) * float64(time.Second))}
 }
 
-// Forget drops the bucket of a replica that is gone.
+// Forget removes the bucket of a deregistered replica.
 func (i *Issuer) Forget(replica string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	delete(i.buckets, replica)
 }
 
-// bucket is the replica's, filled at the rate. A new one is empty: another node may have
-// issued permits just before. The lock is held.
+// bucket returns the replica's bucket with its rate updated. A new bucket starts empty, since
+// another node may have issued permits just before. The lock is held.
 func (i *Issuer) bucket(now time.Time, replica string, perSecond float64) *rate.Limiter {
-	burst := 1 + int(perSecond*keptFor.Seconds())
+	burst := 1 + int(perSecond*burstWindow.Seconds())
 	b, ok := i.buckets[replica]
 	if !ok {
 		b = rate.NewLimiter(rate.Limit(perSecond), burst)
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -2,15 +2,15 @@
 
 import "galenatrestle/internal/boottime"
 
-// Limit is what a replica last said of the rate at which it takes requests.
+// Limit is the request rate that a replica announced last.
 type Limit struct {
-	// Replica and StartedAt name the process, as in its registration.
+	// Replica and StartedAt identify the process, as in its registration.
 	Replica   string
 	StartedAt int64
-	// PerSecond is the requests a second that it takes from all nodes together.
+	// PerSecond is the rate in requests per second, over all nodes.
 	PerSecond float64
-	// Lifted says that it names no rate any more.
+	// Lifted means that the replica no longer announces a rate.
 	Lifted bool
-	// ObservedAt is when the answer came that said so.
+	// ObservedAt is when the response that announced or lifted the limit was received.
 	ObservedAt boottime.Instant
 }
--- a/internal/ratelimit/metrics.go
+++ b/internal/ratelimit/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// RegisterMetrics tells of the table's limits.
+// RegisterMetrics registers a gauge of the table's limits in force.
 func RegisterMetrics(registry prometheus.Registerer, t *Table) {
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "trestle_rate_limited_replicas", Help: "Replicas that name a rate at which they take requests.",
--- a/internal/ratelimit/permits.go
+++ b/internal/ratelimit/permits.go
@@ -9,52 +9,52 @@
 )
 
 const (
-	// leastPause is the time before a replica is considered again for which a permit was
+	// minPause is the shortest time without permit requests for a replica after one was
 	// refused.
-	leastPause = 100 * time.Millisecond
-	// unansweredPause is that time where the issuer did not answer.
+	minPause = 100 * time.Millisecond
+	// unansweredPause is that time after the issuer did not respond.
 	unansweredPause = 250 * time.Millisecond
 )
 
-// Permits gets the permits for this node's requests. It is safe for concurrent use.
+// Permits acquires permits for this node's requests. It is safe for concurrent use.
 type Permits struct {
-	table *Table
-	ask   AcquireFunc
+	table   *Table
+	acquire AcquireFunc
 
 	mu sync.Mutex
-	// pausedTill is until when no permit of a replica is asked for.
-	pausedTill map[string]time.Time
+	// pausedUntil is the time before which no permit is requested, by replica.
+	pausedUntil map[string]time.Time
 }
 
-// AcquireFunc asks the replica's issuer for a permit under the limit.
+// AcquireFunc requests a permit under the limit from the replica's issuer.
 type AcquireFunc func(ctx context.Context, l Limit) (Grant, error)
 
-// AcquireResult is what came of an ask for a permit.
+// AcquireResult is the result of Permits.Acquire.
 type AcquireResult struct {
-	// Limit is what was asked under, Age the time since the answer that named it.
+	// Limit is the limit in force, and Age the time since the response that carried it.
 	Limit Limit
 	Age   time.Duration
 	Grant Grant
-	// Err says why the issuer did not answer.
+	// Err is why the issuer did not respond.
 	Err error
 }
 
-// Granted says whether there is a permit.
+// Granted reports whether the request may be sent.
 func (a *AcquireResult) Granted() bool { return a.Err == nil && a.Grant.Granted }
 
-// NewPermits returns permits for the limits of the table.
+// NewPermits returns a Permits for the limits of the table. Call SetAcquireFunc before use.
 func NewPermits(table *Table) *Permits {
-	return &Permits{table: table, pausedTill: make(map[string]time.Time)}
+	return &Permits{table: table, pausedUntil: make(map[string]time.Time)}
 }
 
-// SetAcquireFunc gives the way to the issuers. It is called before the first Acquire.
-func (p *Permits) SetAcquireFunc(ask AcquireFunc) { p.ask = ask }
+// SetAcquireFunc sets the function that requests permits. Call it before the first Acquire.
+func (p *Permits) SetAcquireFunc(acquire AcquireFunc) { p.acquire = acquire }
 
-// Limits is the limits in force by the replicas' identities, nil for none. The map is shared
-// and not to be changed.
+// Limits returns the limits in force by replica ID, nil for none. The map is shared and must
+// not be modified.
 func (p *Permits) Limits() map[string]Limit { return p.table.InForce() }
 
-// IsLimited says whether the limits have one of this process of a replica.
+// IsLimited reports whether the limits contain one for this process of the replica.
 func IsLimited(limits map[string]Limit, r *replica.Replica) bool {
 	if len(limits) == 0 {
 		return false
@@ -63,43 +63,43 @@
 	return limited && l.StartedAt == r.StartedAt
 }
 
-// NextAttemptAt is from when on a permit of the replica may be asked for; one that is not after now
-// stands for now.
+// NextAttemptAt returns the earliest time at which a permit for the replica may be requested. A
+// time in the past means now.
 func (p *Permits) NextAttemptAt(replica string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.pausedTill[replica]
+	return p.pausedUntil[replica]
 }
 
-// Acquire gets a permit for one request to the replica, which is to be sent at once. Where
-// there is none, the replica is left alone for a while. One whose limit was lifted just now
-// needs none, and is given without an ask.
+// Acquire acquires a permit for one request to the replica, which must be sent immediately.
+// If none is granted, NextAttemptAt moves into the future. A replica without a limit in force
+// needs no permit: the result is then granted without a request to the issuer.
 func (p *Permits) Acquire(ctx context.Context, now time.Time, r *replica.Replica) AcquireResult {
 	limits := p.table.InForce()
 	if !IsLimited(limits, r) {
 		return AcquireResult{Grant: Grant{Granted: true}}
 	}
 	l := limits[r.ID]
-	asked := AcquireResult{Limit: l, Age: p.table.Now().Sub(l.ObservedAt)}
-	asked.Grant, asked.Err = p.ask(ctx, l)
+	result := AcquireResult{Limit: l, Age: p.table.Now().Sub(l.ObservedAt)}
+	result.Grant, result.Err = p.acquire(ctx, l)
 	switch {
-	case asked.Err != nil:
+	case result.Err != nil:
 		p.pause(r.ID, now.Add(unansweredPause))
-	case !asked.Grant.Granted:
-		p.pause(r.ID, now.Add(max(asked.Grant.RetryAfter, leastPause)))
+	case !result.Grant.Granted:
+		p.pause(r.ID, now.Add(max(result.Grant.RetryAfter, minPause)))
 	}
-	return asked
+	return result
 }
 
-func (p *Permits) pause(replica string, till time.Time) {
+func (p *Permits) pause(replica string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pausedTill[replica] = till
+	p.pausedUntil[replica] = until
 }
 
-// Forget drops what is known of a replica that is gone.
+// Forget removes the state of a deregistered replica.
 func (p *Permits) Forget(replica string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.pausedTill, replica)
+	delete(p.pausedUntil, replica)
 }
--- a/internal/ratelimit/proto.go
+++ b/internal/ratelimit/proto.go
@@ -7,21 +7,21 @@
 	ratelimitv1 "galenatrestle/internal/gen/trestle/ratelimit/v1"
 )
 
-// ToProto is the limits as they are told to another node at the instant.
+// ToProto converts the limits to messages sent at the given instant.
 func ToProto(limits []Limit, now boottime.Instant) []*ratelimitv1.Limit {
-	told := make([]*ratelimitv1.Limit, 0, len(limits))
+	messages := make([]*ratelimitv1.Limit, 0, len(limits))
 	for _, l := range limits {
-		told = append(told, limitToProto(l, now))
+		messages = append(messages, limitToProto(l, now))
 	}
-	return told
+	return messages
 }
 
-// FromProto is the limits as another node told them in a call that began at the instant, from
-// which their ages count.
-func FromProto(told []*ratelimitv1.Limit, began boottime.Instant) []Limit {
-	limits := make([]Limit, 0, len(told))
-	for _, l := range told {
-		limits = append(limits, limitFromProto(l, began))
+// FromProto converts the limits received in a call that began at the given instant, which
+// their ages are subtracted from.
+func FromProto(messages []*ratelimitv1.Limit, callStart boottime.Instant) []Limit {
+	limits := make([]Limit, 0, len(messages))
+	for _, l := range messages {
+		limits = append(limits, limitFromProto(l, callStart))
 	}
 	return limits
 }
@@ -32,10 +32,10 @@
 	}
 }
 
-func limitFromProto(l *ratelimitv1.Limit, began boottime.Instant) Limit {
+func limitFromProto(l *ratelimitv1.Limit, callStart boottime.Instant) Limit {
 	return Limit{
 		Replica: l.GetReplica(), StartedAt: l.GetStartedAt(), PerSecond: l.GetPerSecond(), Lifted: l.GetLifted(),
-		ObservedAt: began.Add(-microseconds(l.GetAge())),
+		ObservedAt: callStart.Add(-microseconds(l.GetAge())),
 	}
 }
 
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -9,26 +9,26 @@
 	"galenatrestle/internal/boottime"
 )
 
-// Table is the limits that this node knows. It is safe for concurrent use.
+// Table is this node's copy of the limits of all replicas. It is safe for concurrent use.
 type Table struct {
 	clock boottime.Clock
 
 	mu    sync.Mutex
 	known map[string]Limit
-	// inForce has those that are not lifted. A map that was stored is not changed.
+	// inForce contains the limits that are not lifted. Stored maps are immutable.
 	inForce atomic.Pointer[map[string]Limit]
 }
 
-// NewTable returns a table without limits.
+// NewTable returns an empty table.
 func NewTable(clock boottime.Clock) *Table {
 	return &Table{clock: clock, known: make(map[string]Limit)}
 }
 
-// Now is the instant by which limits are dated.
+// Now returns the current instant of the clock that limits are dated by.
 func (t *Table) Now() boottime.Instant { return t.clock() }
 
-// InForce is the limits in force by the replicas' identities, nil for none. The map is
-// shared and not to be changed.
+// InForce returns the limits in force by replica ID, nil for none. The map is shared and must
+// not be modified.
 func (t *Table) InForce() map[string]Limit {
 	limits := t.inForce.Load()
 	if limits == nil {
@@ -37,34 +37,35 @@
 	return *limits
 }
 
-// Observe takes in what an answer says. It reports the limit that is in force or lifted by
-// it, where that is news.
+// Observe updates the table from a response. It returns the resulting limit and whether the
+// limit changed.
 func (t *Table) Observe(a Observation) (Limit, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := Limit{Replica: a.Replica.ID, StartedAt: a.Replica.StartedAt, PerSecond: a.PerSecond, Lifted: !a.Limited, ObservedAt: a.ReceivedAt}
 	old, known := t.known[l.Replica]
 	if l.Lifted && !(known && !old.Lifted && a.Succeeded && a.SentAt > old.ObservedAt) {
-		// An answer that was on its way when the limit was named says nothing of it.
+		// Only a successful response to a request sent after the last announcement of the
+		// limit lifts it.
 		return Limit{}, false
 	}
-	return l, t.take(l)
+	return l, t.merge(l)
 }
 
-// Merge takes in the limits that another node told, and returns those that are news.
+// Merge merges limits received from another node and returns those that changed.
 func (t *Table) Merge(limits []Limit) []Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var news []Limit
+	var changed []Limit
 	for _, l := range limits {
-		if t.take(l) {
-			news = append(news, l)
+		if t.merge(l) {
+			changed = append(changed, l)
 		}
 	}
-	return news
+	return changed
 }
 
-// Newest is the given limit, or a newer one that is known of the same replica.
+// Newest returns the newer of the given limit and the table's limit of the same replica.
 func (t *Table) Newest(l Limit) Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,30 +75,31 @@
 	return l
 }
 
-// ForPeers is the limits that other nodes are told: those in force, and those lifted lately.
+// ForPeers returns the limits to send to other nodes: those in force and those lifted recently.
 func (t *Table) ForPeers() []Limit {
 	now := t.clock()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var told []Limit
+	var limits []Limit
 	for _, l := range t.known {
-		if (!l.Lifted || now.Sub(l.ObservedAt) < liftedNews) && len(told) < maxTold {
-			told = append(told, l)
+		if (!l.Lifted || now.Sub(l.ObservedAt) < liftedRetention) && len(limits) < maxPeerLimits {
+			limits = append(limits, l)
 		}
 	}
-	return told
+	return limits
 }
 
 const (
-	// liftedNews is how long it is told that a limit was lifted: some tens of rounds.
-	liftedNews = 10 * time.Second
-	// maxTold bounds the limits in one message.
-	maxTold = 256
+	// liftedRetention is how long a lifted limit is sent to other nodes. It covers tens of
+	// exchange rounds.
+	liftedRetention = 10 * time.Second
+	// maxPeerLimits bounds the number of limits in one message.
+	maxPeerLimits = 256
 )
 
-// take puts the limit in force unless a newer one is known, and reports whether that
-// changes anything but its age. The lock is held.
-func (t *Table) take(l Limit) bool {
+// merge stores the limit unless the stored one is newer, and reports whether anything but its
+// age changed. The lock is held.
+func (t *Table) merge(l Limit) bool {
 	old, known := t.known[l.Replica]
 	if known && l.ObservedAt <= old.ObservedAt {
 		return false
@@ -110,7 +112,7 @@
 	return true
 }
 
-// Forget drops what is known of a replica that is gone.
+// Forget removes the limit of a deregistered replica.
 func (t *Table) Forget(replica string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,7 +123,7 @@
 	t.publish()
 }
 
-// publish renews inForce. The lock is held.
+// publish rebuilds inForce. The lock is held.
 func (t *Table) publish() {
 	limits := maps.Clone(t.known)
 	maps.DeleteFunc(limits, func(_ string, l Limit) bool { return l.Lifted })
