--- a/internal/passthrough/check.go
+++ b/internal/passthrough/check.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// revokeMargin is the part of the time for revocations within which a key
-	// may be used: the rest is for clocks that differ in rate.
-	revokeMargin = 0.85
-	// defaultTimeout bounds a request whose route and caller set no time.
+	// maxKeyAgeFraction is the fraction of Bounds.RevokeAfter up to which the table's
+	// age allows the use of keys. The rest is a margin for clock drift.
+	maxKeyAgeFraction = 0.85
+	// defaultTimeout applies if the route has no timeout.
 	defaultTimeout = 30 * time.Second
-	// defaultMaxBody bounds a body where the configuration does not.
+	// defaultMaxBody is the body limit in bytes if the configuration has none.
 	defaultMaxBody = 4 << 20
 )
 
-// check decides whether the request is let in, and as what.
-func (h *Handler) check(w http.ResponseWriter, r *http.Request, arrived time.Time) (*forward.Call, *refused) {
+// check validates the request and converts it to a call, or returns why it is refused.
+func (h *Handler) check(w http.ResponseWriter, r *http.Request, arrived time.Time) (*forward.Call, *rejection) {
 	snapshot := h.options.Routes.Get()
 	if snapshot.Table == nil {
 		return nil, &refuseNoConfiguration
@@ -36,7 +36,7 @@
 		return nil, h.unlessStale(age, &refuseRoute)
 	}
 	headers := h.options.Codec.DecodeCaller(r.Header)
-	workspace, refusal := h.admit(table, matched, headers.Key, age)
+	workspace, refusal := h.authenticate(table, matched, headers.Key, age)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -50,13 +50,13 @@
 		Arrived: arrived, Deadline: deadline(arrived, matched, headers.Timeout),
 	}
 	if u, ok := table.Upstream(c.Upstream); ok {
-		h.bound(c, u)
+		h.applyUpstream(c, u)
 	}
 	return c, nil
 }
 
-// requestTarget is the request line's target as the caller sent it, without
-// the scheme and host of its absolute form.
+// requestTarget returns the request target as the caller sent it, without the scheme and
+// host of the absolute form.
 func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -64,14 +64,14 @@
 	return r.URL.RequestURI()
 }
 
-// admit checks the key. The snapshot's age counts from before the request came,
-// so that a key which it holds was revoked no earlier than that.
-func (h *Handler) admit(table *route.Table, r *route.Route, key string, age time.Duration) (*route.Workspace, *refused) {
+// authenticate checks the key, if the route needs one. age is the age of the table; no key
+// in the table was revoked longer ago than that.
+func (h *Handler) authenticate(table *route.Table, r *route.Route, key string, age time.Duration) (*route.Workspace, *rejection) {
 	if !table.NeedsKey(r) {
 		return nil, nil
 	}
 	revokeAfter := h.options.Bounds().RevokeAfter
-	if revokeAfter > 0 && age > time.Duration(revokeMargin*float64(revokeAfter)) {
+	if revokeAfter > 0 && age > time.Duration(maxKeyAgeFraction*float64(revokeAfter)) {
 		return nil, &refuseStale
 	}
 	workspace, ok := table.Workspace(key)
@@ -81,41 +81,41 @@
 	return workspace, nil
 }
 
-// unlessStale refuses for good only by a table that is known to be the newest:
-// a newer one may hold the route or key.
-func (h *Handler) unlessStale(age time.Duration, final *refused) *refused {
+// unlessStale returns final, or a retryable refusal if the table may be outdated and a newer
+// one may contain the route or key.
+func (h *Handler) unlessStale(age time.Duration, final *rejection) *rejection {
 	if within := h.options.Bounds().ApplyWithin; within > 0 && age > within {
 		return &refuseStale
 	}
 	return final
 }
 
-// deadline is when the answer is of no more use.
-func deadline(arrived time.Time, r *route.Route, patience time.Duration) time.Time {
-	limit := r.Timeout
-	if limit <= 0 {
-		limit = defaultTimeout
+// deadline returns the end of the route's or the caller's timeout, whichever is earlier.
+func deadline(arrived time.Time, r *route.Route, callerTimeout time.Duration) time.Time {
+	timeout := r.Timeout
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
-	if patience > 0 {
-		limit = min(limit, patience)
+	if callerTimeout > 0 {
+		timeout = min(timeout, callerTimeout)
 	}
-	return arrived.Add(limit)
+	return arrived.Add(timeout)
 }
 
-// bound takes over what the operator says of the upstream's replicas.
-func (h *Handler) bound(c *forward.Call, u *route.Upstream) {
+// applyUpstream copies the upstream's replica settings to the call.
+func (h *Handler) applyUpstream(c *forward.Call, u *route.Upstream) {
 	if u.Engine != nil {
 		c.MemoryTokens = u.Engine.MemoryTokens
 		c.CanCopyCache = u.Engine.CopiesPrompts
 	}
 	if u.MaxConnections > 0 {
-		// This node's share of what one replica accepts of all nodes.
+		// This node's share of the connections that one replica accepts.
 		c.MaxConnections = max(u.MaxConnections/max(h.options.NodeCount(), 1), 1)
 	}
 }
 
 // readBody reads the whole body, so that it can be sent more than once.
-func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *refused) {
+func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *rejection) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
 	}
--- a/internal/passthrough/doc.go
+++ b/internal/passthrough/doc.go
@@ -1,9 +1,9 @@
-// Package passthrough is the callers' side of a deployment whose routes are
-// given by host and path prefix: it checks a request against the routing table
-// and hands it on unchanged.
+// Package passthrough is the HTTP handler for callers in a deployment that routes by
+// host and path prefix. It checks requests against the routing table and forwards them
+// unchanged.
 //
-// It holds soft state, the number of requests in flight. A key is accepted only
-// while the table's proof of freshness is young enough that the key cannot have
-// been revoked for longer than the deployment allows; past that, in an outage of
-// the platform, requests with keys are refused as not run.
+// State is in memory: the number of requests in flight. A key is accepted only while the
+// routing table is known to be recent enough that the key cannot have been revoked for
+// longer than Bounds.RevokeAfter. In a longer platform outage requests to routes that
+// need a key are refused.
 package passthrough
--- a/internal/passthrough/events.go
+++ b/internal/passthrough/events.go
@@ -6,12 +6,12 @@
 	"galenatrestle/internal/eventlog"
 )
 
-// requestRefused tells of a request that was refused before any attempt.
+// requestRefused is logged for a request refused before any attempt.
 type requestRefused struct {
 	id      string
 	host    string
 	target  string
-	refusal *refused
+	refusal *rejection
 	version int64
 	age     time.Duration
 }
--- a/internal/passthrough/handler.go
+++ b/internal/passthrough/handler.go
@@ -10,20 +10,19 @@
 	"galenatrestle/internal/forward"
 )
 
-// Handler serves callers. It is safe for concurrent use.
+// Handler checks callers' requests and forwards them. It is safe for concurrent use.
 type Handler struct {
 	options  Options
 	refusals *prometheus.CounterVec
-	// inFlight counts the requests being served.
 	inFlight atomic.Int64
-	// lastAt is when the last request came, in nanoseconds since 1970.
-	lastAt   atomic.Int64
-	stopping atomic.Bool
-	// lastCall is set once new long answers are not begun any more.
-	lastCall atomic.Bool
+	// lastRequestAt is the Unix time of the last request in nanoseconds.
+	lastRequestAt      atomic.Int64
+	keepAlivesDisabled atomic.Bool
+	// refuseStreaming is set once requests to streaming routes are refused.
+	refuseStreaming atomic.Bool
 }
 
-// New returns a handler.
+// New returns a handler and registers its metrics.
 func New(options Options) *Handler {
 	h := &Handler{
 		options: options,
@@ -40,26 +39,26 @@
 	arrived := time.Now()
 	h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
-	h.lastAt.Store(arrived.UnixNano())
-	if h.stopping.Load() {
+	h.lastRequestAt.Store(arrived.UnixNano())
+	if h.keepAlivesDisabled.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	call, refusal := h.check(w, r, arrived)
-	if refusal == nil && call.Route.Streaming && h.lastCall.Load() {
+	if refusal == nil && call.Route.Streaming && h.refuseStreaming.Load() {
 		refusal = &refuseStopping
 	}
 	if refusal != nil {
 		h.refuse(w, r, refusal)
 		return
 	}
-	ending := h.options.Forwarder.Serve(r.Context(), w, call)
-	if ending == forward.EndedBroken || ending == forward.EndedCallerGone {
-		// Ends the connection, so that the answer does not look complete.
+	outcome := h.options.Forwarder.Serve(r.Context(), w, call)
+	if outcome == forward.EndedBroken || outcome == forward.EndedCallerGone {
+		// Aborts the connection, so that the response does not appear complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (h *Handler) refuse(w http.ResponseWriter, r *http.Request, refusal *refused) {
+func (h *Handler) refuse(w http.ResponseWriter, r *http.Request, refusal *rejection) {
 	h.refusals.WithLabelValues(string(refusal.reason)).Inc()
 	snapshot := h.options.Routes.Get()
 	h.options.Log.Write(&requestRefused{
@@ -69,17 +68,17 @@
 	refusal.write(w)
 }
 
-// InFlight is the number of requests being served.
+// InFlight returns the number of requests being served.
 func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
 
-// IdleTime is how long ago the last request came.
+// IdleTime returns the time since the last request arrived.
 func (h *Handler) IdleTime(now time.Time) time.Duration {
-	return now.Sub(time.Unix(0, h.lastAt.Load()))
+	return now.Sub(time.Unix(0, h.lastRequestAt.Load()))
 }
 
-// DisableKeepAlives announces on each answer that its connection ends with it.
-func (h *Handler) DisableKeepAlives() { h.stopping.Store(true) }
+// DisableKeepAlives adds Connection: close to all further responses.
+func (h *Handler) DisableKeepAlives() { h.keepAlivesDisabled.Store(true) }
 
-// RefuseStreaming refuses from now on the requests whose answers might not end before
-// the process does.
-func (h *Handler) RefuseStreaming() { h.lastCall.Store(true) }
+// RefuseStreaming refuses further requests to streaming routes, whose responses might not
+// end before the process does.
+func (h *Handler) RefuseStreaming() { h.refuseStreaming.Store(true) }
--- a/internal/passthrough/handler_test.go
+++ b/internal/passthrough/handler_test.go
@@ -18,8 +18,8 @@
 	"galenatrestle/internal/routesource"
 )
 
-// rig is a handler before one replica, with a clock that a test moves.
-type rig struct {
+// harness is a handler in front of one replica, with a manual clock.
+type harness struct {
 	*Handler
 	routes  *routesource.Current
 	replica *forwardtest.Replica
@@ -28,7 +28,7 @@
 
 const second = boottime.Instant(time.Second)
 
-// document is the configuration of all tests; the encoded one is only a name.
+// document returns the configuration of all tests and ignores its input.
 func document([]byte) (*route.Document, error) {
 	targets := []route.Target{{Upstream: "u", Weight: 1}}
 	return &route.Document{
@@ -43,9 +43,9 @@
 	}, nil
 }
 
-func newRig(t *testing.T) *rig {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	r := &rig{routes: routesource.New(document), now: 100 * second}
+	r := &harness{routes: routesource.New(document), now: 100 * second}
 	r.replica = forwardtest.NewReplica("i-0", "u", func(c *forwardtest.Conn) bool { return c.Answer(200, "done") })
 	fleet := forwardtest.NewFleet(t, r.replica)
 	r.Handler = New(Options{
@@ -57,12 +57,12 @@
 	return r
 }
 
-// know gives the rig the configuration, proved so long ago.
-func (r *rig) know(age time.Duration) {
+// setConfiguration installs the configuration with the given age.
+func (r *harness) setConfiguration(age time.Duration) {
 	_, _ = r.routes.Take([]byte("x"), r.now.Add(-age))
 }
 
-func (r *rig) ask(path, key, body string) *httptest.ResponseRecorder {
+func (r *harness) send(path, key, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	request.Host = "h.example"
 	request.Header.Set(forwardtest.HeaderID, "c1")
@@ -74,102 +74,102 @@
 	return w
 }
 
-func TestWhoIsLetIn(t *testing.T) {
+func TestRequestChecks(t *testing.T) {
 	tests := map[string]struct {
-		known           bool
+		configured      bool
 		age             time.Duration
 		path, key, body string
 		status          int
 	}{
-		"no configuration yet":                {false, 0, "/open/x", "", "", 503},
-		"open route":                          {true, 0, "/open/x", "", "", 200},
-		"key":                                 {true, 0, "/closed/x", "good", "", 200},
-		"unknown key":                         {true, 0, "/closed/x", "bad", "", 401},
-		"no key":                              {true, 0, "/closed/x", "", "", 401},
-		"no such route":                       {true, 0, "/other/x", "good", "", 404},
-		"body at the limit":                   {true, 0, "/open/x", "", "0123456789", 200},
-		"body too large":                      {true, 0, "/open/x", "", "0123456789a", 413},
-		"a newer one may have the route":      {true, 3 * time.Second, "/other/x", "", "", 503},
-		"a newer one may have the key":        {true, 3 * time.Second, "/closed/x", "bad", "", 503},
-		"key proved not to be revoked":        {true, 4 * time.Second, "/closed/x", "good", "", 200},
-		"key that may have been revoked":      {true, 5 * time.Second, "/closed/x", "good", "", 503},
-		"open route in an outage":             {true, time.Hour, "/open/x", "", "", 200},
-		"unread path is matched as it is":     {true, 0, "/open%2fx", "", "", 404},
-		"query is not part of the match":      {true, 0, "/other?p=/open/", "", "", 404},
-		"query goes with the request":         {true, 0, "/open/x?p=1", "", "", 200},
-		"path of another form is not cleaned": {true, 0, "/open//x/../y", "", "", 200},
+		"no configuration yet":             {false, 0, "/open/x", "", "", 503},
+		"open route":                       {true, 0, "/open/x", "", "", 200},
+		"key":                              {true, 0, "/closed/x", "good", "", 200},
+		"unknown key":                      {true, 0, "/closed/x", "bad", "", 401},
+		"no key":                           {true, 0, "/closed/x", "", "", 401},
+		"no such route":                    {true, 0, "/other/x", "good", "", 404},
+		"body at the limit":                {true, 0, "/open/x", "", "0123456789", 200},
+		"body too large":                   {true, 0, "/open/x", "", "0123456789a", 413},
+		"unknown route, outdated table":    {true, 3 * time.Second, "/other/x", "", "", 503},
+		"unknown key, outdated table":      {true, 3 * time.Second, "/closed/x", "bad", "", 503},
+		"key within the revocation bound":  {true, 4 * time.Second, "/closed/x", "good", "", 200},
+		"key beyond the revocation bound":  {true, 5 * time.Second, "/closed/x", "good", "", 503},
+		"open route, very old table":       {true, time.Hour, "/open/x", "", "", 200},
+		"path is matched without decoding": {true, 0, "/open%2fx", "", "", 404},
+		"query is not matched":             {true, 0, "/other?p=/open/", "", "", 404},
+		"query is forwarded":               {true, 0, "/open/x?p=1", "", "", 200},
+		"path is not cleaned":              {true, 0, "/open//x/../y", "", "", 200},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t)
-				if test.known {
-					r.know(test.age)
+				r := newHarness(t)
+				if test.configured {
+					r.setConfiguration(test.age)
 				}
-				w := r.ask(test.path, test.key, test.body)
+				w := r.send(test.path, test.key, test.body)
 				if w.Code != test.status {
 					t.Errorf("status %d, want %d", w.Code, test.status)
 				}
 				if ran := len(r.replica.Requests()) > 0; ran != (test.status == 200) {
-					t.Errorf("status %d, and reached a replica: %v", w.Code, ran)
+					t.Errorf("status %d, reached a replica: %v", w.Code, ran)
 				}
 				if (w.Code == 503) != (w.Header().Get("Retry-After") != "") {
 					t.Errorf("status %d with Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 				}
 				if w.Code == 200 && r.replica.Requests()[0].RequestURI != test.path {
-					t.Errorf("the replica was asked for %s", r.replica.Requests()[0].RequestURI)
+					t.Errorf("the replica received the target %s", r.replica.Requests()[0].RequestURI)
 				}
 			})
 		})
 	}
 }
 
-// TestAVMThatWakesUpDoesNotTrustWhatItKnewBefore moves the boot-time clock alone,
-// as a suspension does.
-func TestAVMThatWakesUpDoesNotTrustWhatItKnewBefore(t *testing.T) {
+// Guards against accepting keys by an outdated table after the VM was suspended, which
+// advances only the boot-time clock.
+func TestSuspendedVMDoesNotTrustItsOldTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.know(0)
-		if w := r.ask("/closed/x", "good", ""); w.Code != 200 {
-			t.Fatalf("status %d before", w.Code)
+		r := newHarness(t)
+		r.setConfiguration(0)
+		if w := r.send("/closed/x", "good", ""); w.Code != 200 {
+			t.Fatalf("status %d before the suspension", w.Code)
 		}
 		r.now += 10 * second
-		if w := r.ask("/closed/x", "good", ""); w.Code != 503 {
+		if w := r.send("/closed/x", "good", ""); w.Code != 503 {
 			t.Errorf("status %d after the VM was suspended for ten seconds", w.Code)
 		}
-		r.know(0)
-		if w := r.ask("/closed/x", "good", ""); w.Code != 200 {
-			t.Errorf("status %d after a new proof", w.Code)
+		r.setConfiguration(0)
+		if w := r.send("/closed/x", "good", ""); w.Code != 200 {
+			t.Errorf("status %d after a refresh of the configuration", w.Code)
 		}
 	})
 }
 
-func TestThePatienceOfCallerAndRouteBoundTheCall(t *testing.T) {
+func TestDeadlineIsTheEarlierOfRouteAndCaller(t *testing.T) {
 	arrived := time.Now()
-	for _, test := range []struct{ timeout, patience, want time.Duration }{
+	for _, test := range []struct{ timeout, callerTimeout, want time.Duration }{
 		{time.Second, 0, time.Second}, {time.Second, 300 * time.Millisecond, 300 * time.Millisecond},
 		{time.Second, time.Minute, time.Second}, {0, 0, defaultTimeout}, {0, time.Second, time.Second},
 	} {
-		if got := deadline(arrived, &route.Route{Timeout: test.timeout}, test.patience).Sub(arrived); got != test.want {
-			t.Errorf("route %s, caller %s: %s", test.timeout, test.patience, got)
+		if got := deadline(arrived, &route.Route{Timeout: test.timeout}, test.callerTimeout).Sub(arrived); got != test.want {
+			t.Errorf("route timeout %s, caller timeout %s: deadline after %s", test.timeout, test.callerTimeout, got)
 		}
 	}
 }
 
-func TestAStoppingNodeServesAndSaysThatTheConnectionEnds(t *testing.T) {
+func TestStoppingHandlerClosesConnectionsAndRefusesStreaming(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.know(0)
+		r := newHarness(t)
+		r.setConfiguration(0)
 		r.DisableKeepAlives()
-		if w := r.ask("/open/x", "", ""); w.Code != 200 || w.Header().Get("Connection") != "close" {
+		if w := r.send("/open/x", "", ""); w.Code != 200 || w.Header().Get("Connection") != "close" {
 			t.Errorf("status %d, Connection %q", w.Code, w.Header().Get("Connection"))
 		}
 		r.RefuseStreaming()
-		if w := r.ask("/stream/x", "", ""); w.Code != 503 || w.Header().Get("Retry-After") == "" || w.Header().Get("Connection") != "close" {
-			t.Errorf("a long answer was begun: status %d, header %v", w.Code, w.Header())
+		if w := r.send("/stream/x", "", ""); w.Code != 503 || w.Header().Get("Retry-After") == "" || w.Header().Get("Connection") != "close" {
+			t.Errorf("streaming request: status %d, header %v", w.Code, w.Header())
 		}
-		if w := r.ask("/open/x", "", ""); w.Code != 200 {
-			t.Errorf("a short answer was refused: status %d", w.Code)
+		if w := r.send("/open/x", "", ""); w.Code != 200 {
+			t.Errorf("other request after RefuseStreaming: status %d", w.Code)
 		}
 	})
 }
--- a/internal/passthrough/options.go
+++ b/internal/passthrough/options.go
@@ -11,18 +11,18 @@
 	"galenatrestle/internal/routesource"
 )
 
-// Options are what a Handler works with.
+// Options configures a Handler.
 type Options struct {
 	Routes    *routesource.Current
 	Forwarder *forward.Forwarder
 	Codec     forward.Codec
 	Clock     boottime.Clock
-	// Random returns values in [0, 1) for the split of a route.
+	// Random returns values in [0, 1) for choosing one of a route's upstreams by weight.
 	Random func() float64
 	// Bounds returns the bounds in force.
 	Bounds func() Bounds
-	// NodeCount is the largest number of nodes, which share the connections that a
-	// replica accepts.
+	// NodeCount returns the largest number of nodes that may share the connections that
+	// a replica accepts.
 	NodeCount func() int
 	Log       *eventlog.Log
 	Registry  prometheus.Registerer
@@ -30,9 +30,10 @@
 
 // Bounds are the times within which a change of the configuration takes effect.
 type Bounds struct {
-	// RevokeAfter is how long after its revocation a key may still be used;
-	// zero: keys are not checked for revocation.
+	// RevokeAfter is how long after its revocation a key may still be accepted;
+	// zero: no bound.
 	RevokeAfter time.Duration
-	// ApplyWithin is how soon a configuration must be in force.
+	// ApplyWithin is the longest time until a new configuration takes effect; zero: no
+	// bound.
 	ApplyWithin time.Duration
 }
--- a/internal/passthrough/refusal.go
+++ b/internal/passthrough/refusal.go
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// reason is one entry of the closed list of why a request is refused here.
+// reason is why a request is refused, in logs and metrics.
 type reason string
 
-// The reasons.
 const (
 	noConfiguration    reason = "no_configuration"
 	staleConfiguration reason = "stale_configuration"
@@ -20,29 +19,29 @@
 	stopping           reason = "stopping"
 )
 
-// comeBack is what a refused caller is told to wait: about the time in which a
-// node gets its configuration or another node takes the request.
-const comeBack = 300 * time.Millisecond
+// retryDelay is the Retry-After of refusals for a missing or outdated configuration. It is
+// about the time to receive a configuration.
+const retryDelay = 300 * time.Millisecond
 
-// refused is a request that was not run.
-type refused struct {
+// rejection is the response to a refused request.
+type rejection struct {
 	reason reason
 	status int
-	// retryAfter is zero where coming back does not help.
+	// retryAfter is zero if a retry would be refused, too.
 	retryAfter time.Duration
 }
 
 var (
-	refuseNoConfiguration = refused{noConfiguration, http.StatusServiceUnavailable, comeBack}
-	refuseStale           = refused{staleConfiguration, http.StatusServiceUnavailable, comeBack}
-	refuseRoute           = refused{unknownRoute, http.StatusNotFound, 0}
-	refuseKey             = refused{unknownKey, http.StatusUnauthorized, 0}
-	refuseTooLarge        = refused{bodyTooLarge, http.StatusRequestEntityTooLarge, 0}
-	refuseUnreadable      = refused{bodyUnreadable, http.StatusBadRequest, 0}
-	refuseStopping        = refused{stopping, http.StatusServiceUnavailable, time.Millisecond}
+	refuseNoConfiguration = rejection{noConfiguration, http.StatusServiceUnavailable, retryDelay}
+	refuseStale           = rejection{staleConfiguration, http.StatusServiceUnavailable, retryDelay}
+	refuseRoute           = rejection{unknownRoute, http.StatusNotFound, 0}
+	refuseKey             = rejection{unknownKey, http.StatusUnauthorized, 0}
+	refuseTooLarge        = rejection{bodyTooLarge, http.StatusRequestEntityTooLarge, 0}
+	refuseUnreadable      = rejection{bodyUnreadable, http.StatusBadRequest, 0}
+	refuseStopping        = rejection{stopping, http.StatusServiceUnavailable, time.Millisecond}
 )
 
-func (r *refused) write(w http.ResponseWriter) {
+func (r *rejection) write(w http.ResponseWriter) {
 	if r.retryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', -1, 64))
 	}
