--- a/internal/replicaconn/conn.go
+++ b/internal/replicaconn/conn.go
@@ -10,71 +10,71 @@
 	"time"
 )
 
-// writeAside is the size of a request from which it is written beside the
-// reading of the answer: a replica may answer before it has read a long body,
-// and connections have small windows.
-const writeAside = 8 << 10
+// asyncWriteSize is the request size in bytes above which the request is written
+// concurrently with reading the response. A replica may respond before it has read a
+// long body, and a blocked write would then delay reading.
+const asyncWriteSize = 8 << 10
 
-// maxInterim bounds the interim (1xx) answers before the final one.
-const maxInterim = 8
+// maxInterimResponses bounds the interim (1xx) responses before the final one.
+const maxInterimResponses = 8
 
-// Conn is one connection, used for one request at a time by one goroutine.
+// Conn is a connection to a replica. It serves one request at a time and is used by one
+// goroutine, except for Close.
 type Conn struct {
 	pool    *Pool
 	replica string
-	net     net.Conn
+	netConn net.Conn
 	reader  *bufio.Reader
-	// idleFor is how long the replica keeps the connection idle; zero: it did
-	// not say.
-	idleFor time.Duration
-	idleAt  time.Time
-	// sent counts the bytes of the current request that the socket took.
-	sent    atomic.Int64
-	writing sync.WaitGroup
-	// written is set once the whole request was handed to the socket.
-	written atomic.Bool
-	closed  sync.Once
+	// idleTimeout is the replica's announced keep-alive timeout; zero: none.
+	idleTimeout time.Duration
+	idleSince   time.Time
+	// bytesSent counts the bytes of the current request written to the socket.
+	bytesSent    atomic.Int64
+	pendingWrite sync.WaitGroup
+	// sentAll is set once the whole request was written to the socket.
+	sentAll   atomic.Bool
+	closeOnce sync.Once
 }
 
-// SentAny says whether a byte of the current request was handed to the socket:
-// from then on the replica may run it.
-func (c *Conn) SentAny() bool { return c.sent.Load() > 0 }
+// SentAny reports whether any byte of the current request may have been written to the
+// socket. From then on the replica may execute it.
+func (c *Conn) SentAny() bool { return c.bytesSent.Load() > 0 }
 
-// Send writes the request, a long one beside the reading of its answer.
+// Send writes the request. Long requests are written in the background, so that the
+// caller can read the response meanwhile.
 func (c *Conn) Send(r *Request) error {
-	c.sent.Store(0)
-	c.written.Store(false)
+	c.bytesSent.Store(0)
+	c.sentAll.Store(false)
 	head := r.head()
-	if len(head)+len(r.Body) <= writeAside {
+	if len(head)+len(r.Body) <= asyncWriteSize {
 		return c.write(net.Buffers{append(head, r.Body...)})
 	}
-	// Counted before the first byte goes out, since the writer runs beside the
-	// caller: to say too early that it may run is safe.
-	c.sent.Store(1)
-	c.writing.Add(1)
+	// Set before the background write starts: reporting too early that the replica may
+	// execute the request is safe.
+	c.bytesSent.Store(1)
+	c.pendingWrite.Add(1)
 	go func() {
-		defer c.writing.Done()
-		// The reader meets the same failure, and tells it with what it knows.
+		defer c.pendingWrite.Done()
+		// Reading the response reports the same failure.
 		_ = c.write(net.Buffers{head, r.Body})
 	}()
 	return nil
 }
 
 func (c *Conn) write(buffers net.Buffers) error {
-	n, err := buffers.WriteTo(c.net)
-	c.sent.Add(n)
+	n, err := buffers.WriteTo(c.netConn)
+	c.bytesSent.Add(n)
 	if err == nil {
-		c.written.Store(true)
+		c.sentAll.Store(true)
 	}
 	return err
 }
 
-// errInterim says that a replica sent too many interim answers.
-var errInterim = errors.New("too many interim answers")
+var errTooManyInterim = errors.New("replica sent too many interim (1xx) responses")
 
-// Receive reads the head of the next answer on the connection.
+// Receive reads the head of the next final response and skips interim ones.
 func (c *Conn) Receive(method string) (*http.Response, error) {
-	for range maxInterim {
+	for range maxInterimResponses {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
@@ -83,32 +83,31 @@
 			return response, nil
 		}
 	}
-	return nil, errInterim
+	return nil, errTooManyInterim
 }
 
-// Buffered says whether bytes wait that belong to no answer read so far.
+// Buffered reports whether the read buffer contains unconsumed bytes.
 func (c *Conn) Buffered() bool { return c.reader.Buffered() > 0 }
 
-// SentAll says whether the whole request was handed to the socket.
-func (c *Conn) SentAll() bool { return c.written.Load() }
+// SentAll reports whether the whole request was written to the socket.
+func (c *Conn) SentAll() bool { return c.sentAll.Load() }
 
-// Close ends the connection. It may be called from any goroutine, and more
-// than once.
+// Close closes the connection. It may be called from any goroutine and more than once.
 func (c *Conn) Close() {
-	c.closed.Do(func() {
-		_ = c.net.Close()
-		c.pool.ended(c)
+	c.closeOnce.Do(func() {
+		_ = c.netConn.Close()
+		c.pool.connClosed(c)
 	})
 }
 
-// Release gives the connection back for another request, if the last answer was
-// read whole and allows it; else it is closed.
+// Release returns the connection to the pool if the last response was read completely and
+// allows reuse; otherwise it closes the connection.
 func (c *Conn) Release(response *http.Response) {
 	if response.Close || !c.SentAll() || c.Buffered() {
 		c.Close()
 		return
 	}
-	c.writing.Wait()
-	c.idleFor = keepAlive(response.Header)
-	c.pool.put(c)
+	c.pendingWrite.Wait()
+	c.idleTimeout = keepAliveTimeout(response.Header)
+	c.pool.putIdle(c)
 }
--- a/internal/replicaconn/doc.go
+++ b/internal/replicaconn/doc.go
@@ -1,9 +1,8 @@
-// Package replicaconn holds a node's HTTP/1.1 connections to replicas, and runs
-// one request at a time on each. Parsing is net/http's. It has no transport of
-// net/http's, since that repeats a request by itself on a reused connection
-// and does not say whether a byte was handed to the socket, on which "was not
-// run" depends.
+// Package replicaconn implements a pool of HTTP/1.1 connections to replicas, with one
+// request at a time on each connection. It does not use http.Transport, which retries
+// requests on reused connections by itself and does not report whether any byte was
+// written to the socket. A request counts as not executed only if none was.
 //
-// It is soft state: idle connections, bounded for each replica. A platform
-// outage does not touch it.
+// State is in memory: a bounded number of idle connections per replica. It does not
+// depend on the platform.
 package replicaconn
--- a/internal/replicaconn/keepalive.go
+++ b/internal/replicaconn/keepalive.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// keepAlive is the idle time that a Keep-Alive header announces; zero: none.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns the timeout in a Keep-Alive header; zero: none.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(part), "=")
 		if !found || !strings.EqualFold(strings.TrimSpace(name), "timeout") {
--- a/internal/replicaconn/pool.go
+++ b/internal/replicaconn/pool.go
@@ -12,43 +12,42 @@
 )
 
 const (
-	// DefaultDialTimeout bounds connecting: replicas are a few milliseconds
-	// away, and one that is silent this long gets its request elsewhere.
+	// DefaultDialTimeout bounds the establishment of a connection, after which the
+	// request is sent to another replica. Replicas are a few milliseconds away.
 	DefaultDialTimeout = 250 * time.Millisecond
-	// maxIdle is how long a connection is kept where the replica does not say.
-	maxIdle = 4 * time.Second
-	// idleMargin is kept from the replica's own idle timeout, so that its
-	// close does not cross a request.
+	// maxIdleTime is the longest time that an idle connection is kept.
+	maxIdleTime = 4 * time.Second
+	// idleMargin is subtracted from the replica's keep-alive timeout, so that the
+	// replica does not close the connection while a request is on its way.
 	idleMargin = 700 * time.Millisecond
 	// maxIdlePerReplica bounds the idle connections to one replica.
 	maxIdlePerReplica = 8
-	// unackedTimeout ends a connection on which sent bytes stay unacknowledged:
-	// paths may go silent without a reset.
+	// unackedTimeout closes a connection whose sent data is not acknowledged, since a
+	// broken network path may not produce a reset.
 	unackedTimeout = 3 * time.Second
-	// Probes of a connection that is silent: the first after probeAfter, then
-	// every probeEvery; probeCount without an answer end it.
-	probeAfter = 1500 * time.Millisecond
-	probeEvery = 500 * time.Millisecond
-	probeCount = 3
-	// readerSize holds a usual answer's head.
-	readerSize = 4 << 10
+	// TCP keep-alive: the first probe is sent after probeIdle without traffic, further
+	// ones every probeInterval; the connection is closed after probeCount unanswered ones.
+	probeIdle     = 1500 * time.Millisecond
+	probeInterval = 500 * time.Millisecond
+	probeCount    = 3
+	// readBufferSize fits the head of a typical response.
+	readBufferSize = 4 << 10
 )
 
-// ErrTooManyConnections says that a replica has as many connections of this
-// node as it may.
-var ErrTooManyConnections = errors.New("replica has all the connections this node may open")
+// ErrTooManyConnections means that this node has reached its limit of connections to a replica.
+var ErrTooManyConnections = errors.New("node reached its connection limit for the replica")
 
-// Pool holds the connections. It is safe for concurrent use.
+// Pool is a connection pool for all replicas. It is safe for concurrent use.
 type Pool struct {
-	dial Dial
-	// onOpen is told of each new connection.
+	dial   Dial
 	onOpen func(replica string)
 
 	mu       sync.Mutex
 	replicas map[string]*connections
 }
 
-// connections are those to one replica.
+// connections is the pool's state of one replica. open counts connections in use, idle and
+// being established.
 type connections struct {
 	idle []*Conn
 	open int
@@ -57,19 +56,17 @@
 // Dial opens a connection to an address.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// NewPool returns an empty pool. onOpen is called for each new connection; nil
-// for nobody.
+// NewPool returns an empty pool. onOpen, if not nil, is called for each new connection.
 func NewPool(dial Dial, onOpen func(replica string)) *Pool {
 	return &Pool{dial: dial, onOpen: onOpen, replicas: make(map[string]*connections)}
 }
 
-// TCPDial returns a Dial that gives up after the timeout, and whose connections
-// end when their path has gone silent.
+// TCPDial returns a Dial with the timeout whose connections detect a broken network path.
 func TCPDial(timeout time.Duration) Dial {
 	dialer := &net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount,
+			Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
 		},
 	}
 	return func(ctx context.Context, address string) (net.Conn, error) {
@@ -81,12 +78,11 @@
 	}
 }
 
-// Open returns a connection to the replica with the identity at the address:
-// an idle one, or a new one if fewer than limit are open (zero: no limit). An
-// error means that nothing was sent.
+// Open returns an idle connection to the replica, or a new connection to its address if
+// fewer than limit are open (zero: no limit). An error means that nothing was sent.
 func (p *Pool) Open(ctx context.Context, replica, address string, limit int) (*Conn, error) {
-	for c := p.take(replica); c != nil; c = p.take(replica) {
-		if c.fresh(time.Now()) && quiet(c.net) {
+	for c := p.takeIdle(replica); c != nil; c = p.takeIdle(replica) {
+		if c.withinIdleTimeout(time.Now()) && openAndEmpty(c.netConn) {
 			return c, nil
 		}
 		c.Close()
@@ -97,18 +93,18 @@
 	return p.connect(ctx, replica, address)
 }
 
-// Probe connects to the replica and keeps the connection for a later request.
+// Probe checks that the replica accepts connections and adds the connection to the pool.
 func (p *Pool) Probe(ctx context.Context, replica, address string) error {
 	p.reserve(replica, 0)
 	c, err := p.connect(ctx, replica, address)
 	if err != nil {
 		return err
 	}
-	p.put(c)
+	p.putIdle(c)
 	return nil
 }
 
-// connect opens a new connection, for which a place was reserved.
+// connect opens a new connection, already counted by reserve.
 func (p *Pool) connect(ctx context.Context, replica, address string) (*Conn, error) {
 	conn, err := p.dial(ctx, address)
 	if err != nil {
@@ -118,11 +114,11 @@
 	if p.onOpen != nil {
 		p.onOpen(replica)
 	}
-	return &Conn{pool: p, replica: replica, net: conn, reader: bufio.NewReaderSize(conn, readerSize)}, nil
+	return &Conn{pool: p, replica: replica, netConn: conn, reader: bufio.NewReaderSize(conn, readBufferSize)}, nil
 }
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged. Where the
-// system refuses it, the keep-alive probes and the request's own time remain.
+// setUserTimeout sets TCP_USER_TIMEOUT. Errors are ignored: keep-alive probes and the
+// request's deadline still apply.
 func setUserTimeout(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -137,67 +133,67 @@
 	})
 }
 
-func (c *Conn) fresh(now time.Time) bool {
-	limit := maxIdle
-	if c.idleFor > 0 {
-		limit = min(limit, c.idleFor-idleMargin)
+func (c *Conn) withinIdleTimeout(now time.Time) bool {
+	timeout := maxIdleTime
+	if c.idleTimeout > 0 {
+		timeout = min(timeout, c.idleTimeout-idleMargin)
 	}
-	return now.Sub(c.idleAt) < limit
+	return now.Sub(c.idleSince) < timeout
 }
 
-// Forget closes the idle connections to a replica that is gone; those in use
-// end by themselves.
+// Forget closes the idle connections to a deregistered replica. Connections in use are not
+// affected.
 func (p *Pool) Forget(replica string) {
-	for c := p.take(replica); c != nil; c = p.take(replica) {
+	for c := p.takeIdle(replica); c != nil; c = p.takeIdle(replica) {
 		c.Close()
 	}
 }
 
-// CloseExpired closes the connections that have been idle for too long.
+// CloseExpired closes connections that have reached their idle timeout.
 func (p *Pool) CloseExpired(now time.Time) {
-	for _, c := range p.stale(now) {
+	for _, c := range p.removeExpired(now) {
 		c.Close()
 	}
 }
 
-func (p *Pool) stale(now time.Time) []*Conn {
+func (p *Pool) removeExpired(now time.Time) []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var stale []*Conn
-	for _, on := range p.replicas {
-		kept := on.idle[:0]
-		for _, c := range on.idle {
-			if c.fresh(now) {
+	var expired []*Conn
+	for _, conns := range p.replicas {
+		kept := conns.idle[:0]
+		for _, c := range conns.idle {
+			if c.withinIdleTimeout(now) {
 				kept = append(kept, c)
 			} else {
-				stale = append(stale, c)
+				expired = append(expired, c)
 			}
 		}
-		on.idle = kept
+		conns.idle = kept
 	}
-	return stale
+	return expired
 }
 
-// take returns the idle connection used last, or nil.
-func (p *Pool) take(replica string) *Conn {
+// takeIdle removes and returns the most recently used idle connection, or nil.
+func (p *Pool) takeIdle(replica string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	on, ok := p.replicas[replica]
-	if !ok || len(on.idle) == 0 {
+	conns, ok := p.replicas[replica]
+	if !ok || len(conns.idle) == 0 {
 		return nil
 	}
-	last := len(on.idle) - 1
-	c := on.idle[last]
-	on.idle = on.idle[:last]
+	last := len(conns.idle) - 1
+	c := conns.idle[last]
+	conns.idle = conns.idle[:last]
 	return c
 }
 
-func (p *Pool) put(c *Conn) {
+func (p *Pool) putIdle(c *Conn) {
 	p.mu.Lock()
-	on := p.replicas[c.replica]
-	if on != nil && len(on.idle) < maxIdlePerReplica {
-		c.idleAt = time.Now()
-		on.idle = append(on.idle, c)
+	conns := p.replicas[c.replica]
+	if conns != nil && len(conns.idle) < maxIdlePerReplica {
+		c.idleSince = time.Now()
+		conns.idle = append(conns.idle, c)
 		p.mu.Unlock()
 		return
 	}
@@ -208,34 +204,34 @@
 func (p *Pool) reserve(replica string, limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	on, ok := p.replicas[replica]
+	conns, ok := p.replicas[replica]
 	if !ok {
-		on = &connections{}
-		p.replicas[replica] = on
+		conns = &connections{}
+		p.replicas[replica] = conns
 	}
-	if limit > 0 && on.open >= limit {
+	if limit > 0 && conns.open >= limit {
 		return false
 	}
-	on.open++
+	conns.open++
 	return true
 }
 
 func (p *Pool) unreserve(replica string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.release(replica)
+	p.releaseLocked(replica)
 }
 
-func (p *Pool) ended(c *Conn) { p.unreserve(c.replica) }
+func (p *Pool) connClosed(c *Conn) { p.unreserve(c.replica) }
 
-// release counts one connection less. The lock is held.
-func (p *Pool) release(replica string) {
-	on, ok := p.replicas[replica]
+// releaseLocked decrements the count of open connections. The lock is held.
+func (p *Pool) releaseLocked(replica string) {
+	conns, ok := p.replicas[replica]
 	if !ok {
 		return
 	}
-	on.open--
-	if on.open <= 0 {
+	conns.open--
+	if conns.open <= 0 {
 		delete(p.replicas, replica)
 	}
 }
--- a/internal/replicaconn/pool_test.go
+++ b/internal/replicaconn/pool_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// listen returns a TCP listener's address, and its connections as they come.
+// listen starts a TCP listener and returns its address and a channel of accepted connections.
 func listen(t *testing.T) (string, <-chan net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,8 +34,8 @@
 	return listener.Addr().String(), conns
 }
 
-// exchange sends a request and reads the given answer.
-func exchange(t *testing.T, c *Conn, far net.Conn, answer string) (*http.Response, error) {
+// roundTrip sends a request, has the far end write the answer, and reads the response.
+func roundTrip(t *testing.T, c *Conn, far net.Conn, answer string) (*http.Response, error) {
 	t.Helper()
 	if err := c.Send(&Request{Method: "GET", Target: "/", Host: "h"}); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 
 const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-func TestAnIdleConnectionWithUnaskedBytesOrAtItsEndIsNotUsed(t *testing.T) {
+func TestClosedOrUnreadIdleConnectionIsNotReused(t *testing.T) {
 	for name, disturb := range map[string]func(net.Conn){
 		"a late second answer": func(far net.Conn) { _, _ = io.WriteString(far, wholeAnswer) },
 		"closed":               func(far net.Conn) { _ = far.Close() },
@@ -71,38 +71,37 @@
 			p := NewPool(TCPDial(time.Second), nil)
 			c := open(t, p, address)
 			far := <-conns
-			response, err := exchange(t, c, far, wholeAnswer)
+			response, err := roundTrip(t, c, far, wholeAnswer)
 			if err != nil {
 				t.Fatal(err)
 			}
 			_, _ = io.ReadAll(response.Body)
 			c.Release(response)
 			if again := open(t, p, address); again != c {
-				t.Fatal("a quiet connection was not used again")
+				t.Fatal("an idle connection was not reused")
 			}
 			c.Release(response)
 			disturb(far)
-			// What was written is in this process's own buffers at once, but for
-			// the scheduling of the loopback device.
-			for quiet(c.net) {
+			// The far end's change may take a moment to pass the loopback device.
+			for openAndEmpty(c.netConn) {
 			}
 			if again := open(t, p, address); again == c {
-				t.Error("the connection was used again")
+				t.Error("the connection was reused")
 			}
 		})
 	}
 }
 
-func TestABodyThatEndsByAResetIsNotWhole(t *testing.T) {
+func TestResetBodyIsIncomplete(t *testing.T) {
 	for name, test := range map[string]struct {
-		linger int
-		whole  bool
+		linger   int
+		complete bool
 	}{"closed": {-1, true}, "reset": {0, false}} {
 		t.Run(name, func(t *testing.T) {
 			address, conns := listen(t)
 			c := open(t, NewPool(TCPDial(time.Second), nil), address)
 			far := <-conns
-			response, err := exchange(t, c, far, "HTTP/1.1 200 OK\r\n\r\nbody without a length")
+			response, err := roundTrip(t, c, far, "HTTP/1.1 200 OK\r\n\r\nbody without a length")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -113,19 +112,18 @@
 			_ = far.(*net.TCPConn).SetLinger(test.linger)
 			_ = far.Close()
 			_, err = io.ReadAll(response.Body)
-			if (err == nil) != test.whole {
-				t.Errorf("error %v, want whole %v", err, test.whole)
+			if (err == nil) != test.complete {
+				t.Errorf("error %v, want complete body %v", err, test.complete)
 			}
-			if !test.whole && !errors.Is(err, syscall.ECONNRESET) {
-				t.Errorf("error %v, want the reset", err)
+			if !test.complete && !errors.Is(err, syscall.ECONNRESET) {
+				t.Errorf("error %v, want ECONNRESET", err)
 			}
 		})
 	}
 }
 
-// A path that goes silent sends no reset: the system ends a connection whose
-// bytes stay unacknowledged, and probes one on which nothing comes.
-func TestASilentPathEndsItsConnection(t *testing.T) {
+// Guards against connections that stay open on a broken network path, which sends no reset.
+func TestDialSetsOptionsToDetectABrokenPath(t *testing.T) {
 	address, _ := listen(t)
 	conn, err := TCPDial(time.Second)(t.Context(), address)
 	if err != nil {
@@ -139,9 +137,9 @@
 	for name, option := range map[string]struct{ level, option, want int }{
 		"unacknowledged bytes, in ms": {unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds())},
 		"probes":                      {unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
-		"probes until the end":        {unix.IPPROTO_TCP, unix.TCP_KEEPCNT, probeCount},
-		"seconds to the first probe":  {unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int((probeAfter + time.Second - 1) / time.Second)},
-		"seconds from probe to probe": {unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int((probeEvery + time.Second - 1) / time.Second)},
+		"probe count":                 {unix.IPPROTO_TCP, unix.TCP_KEEPCNT, probeCount},
+		"seconds to the first probe":  {unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int((probeIdle + time.Second - 1) / time.Second)},
+		"seconds between probes":      {unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int((probeInterval + time.Second - 1) / time.Second)},
 	} {
 		var got int
 		_ = raw.Control(func(fd uintptr) { got, err = unix.GetsockoptInt(int(fd), option.level, option.option) })
@@ -151,7 +149,7 @@
 	}
 }
 
-func TestAReplicaGetsNoMoreConnectionsThanItsLimit(t *testing.T) {
+func TestOpenRespectsTheConnectionLimit(t *testing.T) {
 	address, conns := listen(t)
 	p := NewPool(TCPDial(time.Second), nil)
 	go func() {
@@ -172,7 +170,7 @@
 	}
 }
 
-func TestNothingWasSentWhereNobodyListens(t *testing.T) {
+func TestOpenReportsARefusedConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -180,21 +178,21 @@
 	address := listener.Addr().String()
 	listener.Close()
 	if _, err := NewPool(TCPDial(time.Second), nil).Open(t.Context(), "i-1", address, 0); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("error %v, want a refused connection", err)
+		t.Errorf("error %v, want ECONNREFUSED", err)
 	}
 }
 
-func TestConnectionsEndBeforeTheReplicasOwnTimeout(t *testing.T) {
-	c := &Conn{idleAt: time.Unix(100, 0), idleFor: 2 * time.Second}
+func TestIdleConnectionsExpireBeforeTheReplicasTimeout(t *testing.T) {
+	c := &Conn{idleSince: time.Unix(100, 0), idleTimeout: 2 * time.Second}
 	for after, want := range map[time.Duration]bool{time.Second: true, 1300 * time.Millisecond: false, 3 * time.Second: false} {
-		if got := c.fresh(c.idleAt.Add(after)); got != want {
-			t.Errorf("fresh after %s: %v", after, got)
+		if got := c.withinIdleTimeout(c.idleSince.Add(after)); got != want {
+			t.Errorf("within the idle timeout after %s: %v", after, got)
 		}
 	}
 	for header, want := range map[string]time.Duration{
 		"timeout=5": 5 * time.Second, "max=3, timeout=7": 7 * time.Second, "Timeout = 2": 2 * time.Second, "timeout=x": 0, "": 0, "timeout=-1": 0,
 	} {
-		if got := keepAlive(http.Header{"Keep-Alive": {header}}); got != want {
+		if got := keepAliveTimeout(http.Header{"Keep-Alive": {header}}); got != want {
 			t.Errorf("Keep-Alive %q: %s, want %s", header, got, want)
 		}
 	}
--- a/internal/replicaconn/quiet.go
+++ b/internal/replicaconn/quiet.go
@@ -7,10 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet says whether an idle connection is still open and holds no bytes that
-// nobody asked for: the rest of a late second answer, or the replica's close.
-// A request written on another kind would meet a foreign answer or be lost.
-func quiet(conn net.Conn) bool {
+// openAndEmpty reports whether an idle connection is still open and has no unread data.
+// Otherwise a new request could be lost or get the response to an earlier one.
+func openAndEmpty(conn net.Conn) bool {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/replicaconn/request.go
+++ b/internal/replicaconn/request.go
@@ -6,17 +6,17 @@
 	"strconv"
 )
 
-// Request is what is written to a replica.
+// Request is an HTTP/1.1 request to a replica.
 type Request struct {
 	Method string
-	// Target is the request line's target as the caller sent it.
+	// Target is the request target as the caller sent it.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// head is the request line and the header section.
+// head returns the encoded request line and header section.
 func (r *Request) head() []byte {
 	var b bytes.Buffer
 	b.Grow(1024)
@@ -26,7 +26,7 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(r.Host)
 	b.WriteString("\r\n")
-	// A bytes.Buffer never fails to take a write.
+	// Writes to a bytes.Buffer do not fail.
 	_ = r.Header.Write(&b)
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		b.WriteString("Content-Length: ")
