--- a/internal/circuit/breaker_test.go
+++ b/internal/circuit/breaker_test.go
@@ -10,64 +10,64 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(0, 0)
 	var b Breaker
-	if !b.Allows(now) || !b.ReopensAt().IsZero() {
+	if !b.Allows(now) || !b.NextProbeAt().IsZero() {
 		t.Fatal("a new circuit is not closed")
 	}
-	b.Failed(now, random)
+	b.RecordFailure(now, random)
 	if b.Allows(now) {
 		t.Fatal("open circuit lets a request through")
 	}
-	now = b.ReopensAt()
+	now = b.NextProbeAt()
 	if !b.Allows(now) {
-		t.Fatal("no probe after the wait")
+		t.Fatal("no probe after the backoff")
 	}
-	b.Bound()
+	b.RecordDispatch()
 	if b.Allows(now) {
 		t.Fatal("two probes at a time")
 	}
-	b.Succeeded()
+	b.RecordSuccess()
 	if !b.Allows(now) {
-		t.Fatal("a good probe does not close the circuit")
+		t.Fatal("a successful probe does not close the circuit")
 	}
 }
 
-func TestBreakerWaitGrowsToItsBound(t *testing.T) {
+func TestBreakerBackoffGrowsToMaximum(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	now := time.Unix(0, 0)
 	var b Breaker
 	for i := range 40 {
-		b.Failed(now, random)
-		wait := b.ReopensAt().Sub(now)
-		most := min(firstWait<<min(i, 10), maxWait)
+		b.RecordFailure(now, random)
+		wait := b.NextProbeAt().Sub(now)
+		most := min(initialBackoff<<min(i, 10), maxBackoff)
 		if wait > most || wait < most/2 {
-			t.Fatalf("wait %d is %s, want between %s and %s", i, wait, most/2, most)
+			t.Fatalf("backoff %d is %s, want between %s and %s", i, wait, most/2, most)
 		}
-		now = b.ReopensAt()
-		b.Bound()
+		now = b.NextProbeAt()
+		b.RecordDispatch()
 	}
 }
 
-func TestFailuresTogetherCountOnce(t *testing.T) {
+func TestFailuresWhileOpenCountOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	now := time.Unix(0, 0)
 	var b Breaker
 	for range 20 {
-		b.Failed(now, random)
+		b.RecordFailure(now, random)
 	}
-	if wait := b.ReopensAt().Sub(now); wait > firstWait {
-		t.Errorf("twenty requests that failed together open the circuit for %s, want at most %s", wait, firstWait)
+	if wait := b.NextProbeAt().Sub(now); wait > initialBackoff {
+		t.Errorf("twenty requests that failed together open the circuit for %s, want at most %s", wait, initialBackoff)
 	}
 }
 
-func TestGivenUpProbeIsDueAgain(t *testing.T) {
+func TestInconclusiveProbeIsRepeated(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	now := time.Unix(0, 0)
 	var b Breaker
-	b.Failed(now, random)
-	now = b.ReopensAt()
-	b.Bound()
-	b.Undecided()
+	b.RecordFailure(now, random)
+	now = b.NextProbeAt()
+	b.RecordDispatch()
+	b.RecordInconclusive()
 	if !b.Allows(now) {
-		t.Error("no probe after one that its caller gave up")
+		t.Error("no new probe after an inconclusive one")
 	}
 }
--- a/internal/router/pool_choose.go
+++ b/internal/router/pool_choose.go
@@ -18,9 +18,9 @@
 	for _, r := range free {
 		p.candidateBuffer = append(p.candidateBuffer, p.candidate(now, request, r))
 	}
-	need := balancer.Need{
+	need := balancer.RequestEstimate{
 		Prefill: p.speed.ServiceTime(request.PromptTokens, 0),
-		Answer:  p.speed.ServiceTime(0, p.answerTokens(request, estimate.Median, defaultAnswerTokens)),
+		Decode:  p.speed.ServiceTime(0, p.answerTokens(request, estimate.Median, defaultAnswerTokens)),
 	}
 	chosen := p.balancer.Choose(need, p.candidateBuffer)
 	return free[chosen], choiceOf(&p.candidateBuffer[chosen], len(free))
@@ -29,7 +29,7 @@
 func (p *Pool) candidate(now time.Time, request *Request, r *replicaState) balancer.Candidate {
 	c := balancer.Candidate{
 		Running: r.running, Limit: r.limit(), Slowness: r.slowness,
-		Cached:          p.cacheSaving * r.prefixes.Match(request.PrefixHashes),
+		CachedFraction:  p.cacheSaving * r.prefixes.Match(request.PrefixHashes),
 		SameZone:        r.AvailabilityZone == p.zone,
 		ReportedRunning: r.lastReport.Running,
 		ReportAge:       -1,
--- a/internal/router/pool_pace.go
+++ b/internal/router/pool_pace.go
@@ -41,13 +41,13 @@
 		case !healthyExists:
 			r.slowness = 1
 		case !p.disabled.AdaptiveLimits:
-			r.learnedLimit.Shrink()
+			r.learnedLimit.ShrinkToOne()
 		}
 	}
 }
 
 func (p *Pool) highestTierWaits() bool {
-	return p.queue.FirstTier() == p.highestTier
+	return p.queue.HighestTier() == p.highestTier
 }
 
 // allowedSilence covers the prefill of a long prompt, during which no token arrives.
