--- a/internal/replicaconn/conn.go
+++ b/internal/replicaconn/conn.go
@@ -28,7 +28,8 @@
 	// idleTimeout is the replica's announced keep-alive timeout; zero: none.
 	idleTimeout time.Duration
 	idleSince   time.Time
-	// bytesSent counts the bytes of the current request written to the socket.
+	// bytesSent counts the bytes of the current request written to the socket; a background
+	// write starts at 1.
 	bytesSent    atomic.Int64
 	pendingWrite sync.WaitGroup
 	// sentAll is set once the whole request was written to the socket.
