--- a/internal/leaving/doc.go
+++ b/internal/leaving/doc.go
@@ -1,10 +1,9 @@
-// Package leaving merges the signs that an upstream's replica or a VM is
-// leaving, from whatever source, into one answer, and spreads them as
-// membership notes, so that all nodes stop sending new work within seconds of
-// the first sign.
+// Package leaving combines signals from several sources that a replica of an upstream
+// or a VM is leaving, and distributes them as membership notes, so that all nodes stop
+// sending it new work within seconds of the first signal.
 //
-// It is soft state, bounded by MaxVotes: being wrong costs efficiency, since a
-// replica that is wrongly thought to leave stands idle until its own report or
-// VoteTime corrects it. It needs no platform: in an outage the engines' own
-// word and the peers' notes remain.
+// The state is soft and bounded by MaxSignals. A false signal only costs efficiency:
+// the replica stays idle until its own report corrects the signal or SignalTTL expires.
+// The package does not need the platform: in a platform outage, the replicas' own
+// reports and the notes of other nodes are still available.
 package leaving
--- a/internal/leaving/set.go
+++ b/internal/leaving/set.go
@@ -4,167 +4,164 @@
 	"time"
 )
 
-// Bounds of the state.
 const (
-	// MaxSignals bounds the votes held by one Set.
+	// MaxSignals bounds the signals in one Set.
 	MaxSignals = 4096
-	// SignalTTL is how long a vote lasts that is not renewed.
+	// SignalTTL is how long a signal lasts unless it is renewed.
 	SignalTTL = 10 * time.Minute
 )
 
-// voteKey is what a vote is about.
-type voteKey struct {
+// signalKey identifies a signal.
+type signalKey struct {
 	name   string
 	source Source
 }
 
-// Signal is what one source says of one name.
+// Signal is the latest state of one replica or VM according to one source.
 type Signal struct {
 	Name    string
 	Source  Source
 	Leaving bool
-	// Version orders the votes of one name and source; the higher one wins.
-	// It is the time of the sign in milliseconds since 1970, or the
-	// configuration's revision for SourceOperator.
+	// Version orders the signals of one name and source; the highest wins. It is the
+	// time of the observation in Unix milliseconds, or the configuration revision for
+	// SourceOperator.
 	Version int64
-	// Expires is when the vote ends unless renewed.
+	// Expires is when the signal ends unless renewed.
 	Expires time.Time
 }
 
-// Set holds the votes. It is pure and not safe for concurrent use.
+// Set stores signals. It does no I/O and is not safe for concurrent use.
 type Set struct {
-	votes map[voteKey]Signal
-	// listed holds the names that this node itself saw leaving in the
-	// platform's list.
-	listed map[string]bool
+	signals map[signalKey]Signal
+	// listedLeaving has the names that this node itself saw as leaving in the
+	// platform's instance list.
+	listedLeaving map[string]bool
 }
 
-// NewSet returns a set in which nobody is leaving.
+// NewSet returns an empty set.
 func NewSet() *Set {
-	return &Set{votes: make(map[voteKey]Signal), listed: make(map[string]bool)}
+	return &Set{signals: make(map[signalKey]Signal), listedLeaving: make(map[string]bool)}
 }
 
-// Leaving reports whether any source says that the name is leaving.
+// Leaving reports whether any source says that the replica or VM is leaving.
 func (s *Set) Leaving(now time.Time, name string) bool {
 	for _, source := range Sources() {
-		if s.says(now, voteKey{name, source}) {
+		if s.isLeaving(now, signalKey{name, source}) {
 			return true
 		}
 	}
 	return false
 }
 
-// RecordEngine takes in a replica's own word: leaving from a refusal or a report,
-// or serving from a report. Reports lag: one that was measured before the word
-// it would take back changes nothing. It returns the vote to spread, if there
-// is news.
-func (s *Set) RecordEngine(now, measured time.Time, name string, leaving bool) (Signal, bool) {
-	key := voteKey{name, SourceEngine}
+// RecordEngine records what the replica itself says. A serving report measured before the
+// current leaving signal is ignored, because reports can be delayed. It returns the
+// signal to publish, if any.
+func (s *Set) RecordEngine(now, measuredAt time.Time, name string, leaving bool) (Signal, bool) {
+	key := signalKey{name, SourceEngine}
 	if leaving {
-		return s.renew(now, key, true)
+		return s.record(now, key, true)
 	}
-	if !s.says(now, key) || measured.UnixMilli() <= s.votes[key].Version {
+	if !s.isLeaving(now, key) || measuredAt.UnixMilli() <= s.signals[key].Version {
 		return Signal{}, false
 	}
-	return s.renew(now, key, false)
+	return s.record(now, key, false)
 }
 
-// RecordInstance takes in what this node's copy of the platform's list says. The
-// list lags by different times at different nodes: it takes a vote back only
-// where this same node saw it say leaving before.
+// RecordInstance records the state of a VM in this node's copy of the platform's instance
+// list. The copies lag by different times, so a node clears the signal only if its own
+// copy showed the VM as leaving before. It returns the signal to publish, if any.
 func (s *Set) RecordInstance(now time.Time, name string, leaving bool) (Signal, bool) {
-	seen := s.listed[name]
+	wasLeaving := s.listedLeaving[name]
 	switch {
 	case leaving:
-		s.listed[name] = true
-	case seen:
-		delete(s.listed, name)
+		s.listedLeaving[name] = true
+	case wasLeaving:
+		delete(s.listedLeaving, name)
 	default:
 		return Signal{}, false
 	}
-	return s.renew(now, voteKey{name, SourceInstances}, leaving)
+	return s.record(now, signalKey{name, SourceInstances}, leaving)
 }
 
-// ForgetInstance drops a name that the platform's list no longer holds.
-func (s *Set) ForgetInstance(name string) { delete(s.listed, name) }
+// ForgetInstance drops a VM that is no longer in the platform's instance list.
+func (s *Set) ForgetInstance(name string) { delete(s.listedLeaving, name) }
 
-// RecordOperator takes in what the configuration of a revision says. An older
-// revision than the vote's own changes nothing.
+// RecordOperator records the state of a name in a configuration revision. Older revisions
+// than that of the current signal do not change it. It returns the signal to publish, if any.
 func (s *Set) RecordOperator(now time.Time, name string, leaving bool, revision int64) (Signal, bool) {
-	key := voteKey{name, SourceOperator}
-	old, ok := s.votes[key]
+	key := signalKey{name, SourceOperator}
+	old, ok := s.signals[key]
 	if !ok && !leaving {
 		return Signal{}, false
 	}
 	if ok && old.Version >= revision && old.Leaving == leaving {
 		old.Expires = now.Add(SignalTTL)
-		s.votes[key] = old
+		s.signals[key] = old
 		return Signal{}, false
 	}
-	vote := Signal{Name: name, Source: SourceOperator, Leaving: leaving, Version: revision, Expires: now.Add(SignalTTL)}
-	return vote, s.Merge(now, vote)
+	signal := Signal{Name: name, Source: SourceOperator, Leaving: leaving, Version: revision, Expires: now.Add(SignalTTL)}
+	return signal, s.Merge(now, signal)
 }
 
-// Merge takes in a vote of a peer and reports whether it was news.
-func (s *Set) Merge(now time.Time, vote Signal) bool {
-	key := voteKey{vote.Name, vote.Source}
-	old, ok := s.votes[key]
-	if ok && old.Version >= vote.Version || !now.Before(vote.Expires) {
+// Merge merges a signal and reports whether it changed the set.
+func (s *Set) Merge(now time.Time, signal Signal) bool {
+	key := signalKey{signal.Name, signal.Source}
+	old, ok := s.signals[key]
+	if ok && old.Version >= signal.Version || !now.Before(signal.Expires) {
 		return false
 	}
-	if !ok && !s.room(now) {
+	if !ok && !s.hasRoom(now) {
 		return false
 	}
-	vote.Expires = earlier(vote.Expires, now.Add(SignalTTL))
-	s.votes[key] = vote
+	signal.Expires = earlier(signal.Expires, now.Add(SignalTTL))
+	s.signals[key] = signal
 	return true
 }
 
 // LeavingCount returns the number of names that are leaving.
 func (s *Set) LeavingCount(now time.Time) int {
 	names := make(map[string]bool)
-	for key := range s.votes {
-		if s.says(now, key) {
+	for key := range s.signals {
+		if s.isLeaving(now, key) {
 			names[key.name] = true
 		}
 	}
 	return len(names)
 }
 
-func (s *Set) says(now time.Time, key voteKey) bool {
-	vote, ok := s.votes[key]
-	return ok && vote.Leaving && now.Before(vote.Expires)
+func (s *Set) isLeaving(now time.Time, key signalKey) bool {
+	signal, ok := s.signals[key]
+	return ok && signal.Leaving && now.Before(signal.Expires)
 }
 
-// renew sets a vote whose version is the time. A vote that says the same is
-// renewed only once half its time is over, so that repeated signs make no
-// messages.
-func (s *Set) renew(now time.Time, key voteKey, leaving bool) (Signal, bool) {
-	old, ok := s.votes[key]
+// record stores a signal with the current time as its version. An unchanged state is
+// renewed only after half of SignalTTL, so that repeated observations are not published.
+func (s *Set) record(now time.Time, key signalKey, leaving bool) (Signal, bool) {
+	old, ok := s.signals[key]
 	fresh := ok && old.Expires.Sub(now) > SignalTTL/2
 	if fresh && old.Leaving == leaving {
 		return Signal{}, false
 	}
-	vote := Signal{
+	signal := Signal{
 		Name: key.name, Source: key.source, Leaving: leaving,
 		Version: max(now.UnixMilli(), old.Version+1),
 		Expires: now.Add(SignalTTL),
 	}
-	return vote, s.Merge(now, vote)
+	return signal, s.Merge(now, signal)
 }
 
-// room reports whether one more vote may be held; it forgets expired ones
-// where the set is full.
-func (s *Set) room(now time.Time) bool {
-	if len(s.votes) < MaxSignals {
+// hasRoom reports whether another signal fits. It evicts expired signals if the set is
+// full.
+func (s *Set) hasRoom(now time.Time) bool {
+	if len(s.signals) < MaxSignals {
 		return true
 	}
-	for key, vote := range s.votes {
-		if !now.Before(vote.Expires) {
-			delete(s.votes, key)
+	for key, signal := range s.signals {
+		if !now.Before(signal.Expires) {
+			delete(s.signals, key)
 		}
 	}
-	return len(s.votes) < MaxSignals
+	return len(s.signals) < MaxSignals
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/leaving/set_test.go
+++ b/internal/leaving/set_test.go
@@ -7,7 +7,7 @@
 
 var start = time.UnixMilli(1_800_000_000_000)
 
-func TestVotesOfSources(t *testing.T) {
+func TestSignalsOfSources(t *testing.T) {
 	const name = "tab-llm-3"
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	tests := []struct {
@@ -15,13 +15,13 @@
 		do    func(s *Set)
 		want  bool
 	}{
-		{"nobody said anything", func(*Set) {}, false},
-		{"engine leaves", func(s *Set) { s.RecordEngine(start, start, name, true) }, true},
+		{"no signals", func(*Set) {}, false},
+		{"engine is leaving", func(s *Set) { s.RecordEngine(start, start, name, true) }, true},
 		{"engine serves again", func(s *Set) {
 			s.RecordEngine(start, start, name, true)
 			s.RecordEngine(at(time.Second), at(time.Second), name, false)
 		}, false},
-		{"a report from before the refusal changes nothing", func(s *Set) {
+		{"report from before the refusal is ignored", func(s *Set) {
 			s.RecordEngine(start, start, name, true)
 			s.RecordEngine(at(time.Second), at(-time.Second), name, false)
 		}, true},
@@ -29,7 +29,7 @@
 			s.RecordOperator(start, name, true, 7)
 			s.RecordEngine(at(time.Second), at(time.Second), name, false)
 		}, true},
-		{"older configuration changes nothing", func(s *Set) {
+		{"older configuration is ignored", func(s *Set) {
 			s.RecordOperator(start, name, true, 7)
 			s.RecordOperator(at(time.Second), name, false, 6)
 		}, true},
@@ -37,19 +37,19 @@
 			s.RecordOperator(start, name, true, 7)
 			s.RecordOperator(at(time.Second), name, false, 8)
 		}, false},
-		{"a lagging list that never said leaving takes nothing back", func(s *Set) {
+		{"serving in a list that never said leaving is ignored", func(s *Set) {
 			s.Merge(start, Signal{name, SourceInstances, true, start.UnixMilli(), at(SignalTTL)})
 			s.RecordInstance(at(time.Second), name, false)
 		}, true},
-		{"a list that said leaving takes it back", func(s *Set) {
+		{"list clears its own signal", func(s *Set) {
 			s.RecordInstance(start, name, true)
 			s.RecordInstance(at(time.Second), name, false)
 		}, false},
-		{"an older vote of a peer changes nothing", func(s *Set) {
+		{"older signal of a peer is ignored", func(s *Set) {
 			s.RecordEngine(start, start, name, true)
 			s.Merge(start, Signal{name, SourceEngine, false, start.UnixMilli() - 1, at(SignalTTL)})
 		}, true},
-		{"an expired vote counts for nothing", func(s *Set) {
+		{"expired signal is ignored", func(s *Set) {
 			s.RecordEngine(at(-SignalTTL), at(-SignalTTL), name, true)
 		}, false},
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestRepeatedSignsMakeNoMessages(t *testing.T) {
+func TestRepeatedSignalsAreNotPublished(t *testing.T) {
 	s := NewSet()
 	messages := 0
 	for i := range 3600 {
@@ -73,10 +73,10 @@
 		}
 	}
 	if want := int(time.Hour / (SignalTTL / 2)); messages > want {
-		t.Errorf("%d messages in an hour of signs, want at most %d", messages, want)
+		t.Errorf("%d signals published in an hour, want at most %d", messages, want)
 	}
 	if !s.Leaving(start.Add(time.Hour), "r") {
-		t.Error("the vote was not renewed")
+		t.Error("the signal was not renewed")
 	}
 }
 
@@ -85,10 +85,10 @@
 	for i := range MaxSignals + 10 {
 		s.Merge(start, Signal{string(rune(i)), SourceEngine, true, 1, start.Add(time.Minute)})
 	}
-	if len(s.votes) != MaxSignals {
-		t.Errorf("%d votes held, want %d", len(s.votes), MaxSignals)
+	if len(s.signals) != MaxSignals {
+		t.Errorf("%d signals, want %d", len(s.signals), MaxSignals)
 	}
 	if !s.Merge(start.Add(time.Hour), Signal{"new", SourceEngine, true, 1, start.Add(2 * time.Hour)}) {
-		t.Error("expired votes leave no room")
+		t.Error("expired signals were not evicted")
 	}
 }
--- a/internal/leaving/source.go
+++ b/internal/leaving/source.go
@@ -1,15 +1,13 @@
 package leaving
 
-// Source is where a sign comes from. Each source has a vote of its own on each
-// name; a name is leaving while any of them says so.
+// Source is the origin of a signal. A name is leaving while any source says so.
 type Source string
 
-// The sources.
 const (
-	// SourceInstances is the platform's list, which lags.
+	// SourceInstances is the platform's instance list, which lags.
 	SourceInstances Source = "instances"
-	// SourceEngine is the replica's own word: a refusal with the code
-	// `leaving`, or its load report.
+	// SourceEngine is the replica itself: a refusal with the code `leaving`, or its
+	// load report.
 	SourceEngine Source = "engine"
 	// SourceOperator is the configuration.
 	SourceOperator Source = "operator"
--- a/internal/leaving/tracker.go
+++ b/internal/leaving/tracker.go
@@ -12,28 +12,26 @@
 	"galenatrestle/internal/platform"
 )
 
-// NoteKind is the kind of the membership notes by which votes spread.
+// NoteKind is the kind of the membership notes that carry signals.
 const NoteKind = "leaving"
 
-// keySeparator stands between source and name in a note's key.
+// keySeparator separates source and name in a note's key.
 const keySeparator = "/"
 
-// trackerShards is the number of locks.
 const trackerShards = 16
 
-// Publisher spreads notes; membership.Runner implements it.
+// Publisher distributes notes to other nodes; membership.Runner implements it.
 type Publisher interface {
 	Publish(n *membershipv1.Note) error
 }
 
-// Tracker is a Set in shards that publishes news. It is safe for concurrent
-// use.
+// Tracker is a sharded Set that publishes changes. It is safe for concurrent use.
 type Tracker struct {
-	publisher Publisher
-	signs     *prometheus.CounterVec
-	dropped   prometheus.Counter
-	changed   func()
-	shards    [trackerShards]trackerShard
+	publisher        Publisher
+	signalsTotal     *prometheus.CounterVec
+	unpublishedTotal prometheus.Counter
+	onChange         func()
+	shards           [trackerShards]trackerShard
 }
 
 type trackerShard struct {
@@ -41,16 +39,16 @@
 	set *Set
 }
 
-// NewTracker returns a tracker to which nobody is leaving. Its Receive is to
-// be given to membership.Runner.OnNote with NoteKind.
+// NewTracker returns an empty tracker. The caller must register Receive with
+// membership.Runner.OnNote for NoteKind.
 func NewTracker(publisher Publisher, registerer prometheus.Registerer) *Tracker {
 	t := &Tracker{
 		publisher: publisher,
-		signs: prometheus.NewCounterVec(prometheus.CounterOpts{
+		signalsTotal: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "trestle_leaving_signs_total",
 			Help: "News that a replica or VM leaves or serves again, by source and whether it came from a peer.",
 		}, []string{"source", "from_peer", "leaving"}),
-		dropped: prometheus.NewCounter(prometheus.CounterOpts{
+		unpublishedTotal: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "trestle_leaving_unpublished_total",
 			Help: "News that could not be given to the peers.",
 		}),
@@ -58,13 +56,13 @@
 	for i := range t.shards {
 		t.shards[i].set = NewSet()
 	}
-	registerer.MustRegister(t.signs, t.dropped)
+	registerer.MustRegister(t.signalsTotal, t.unpublishedTotal)
 	return t
 }
 
-// OnChange has f called after each piece of news. It must not block, and is set
-// before the first sign.
-func (t *Tracker) OnChange(f func()) { t.changed = f }
+// OnChange sets a function that is called after each change. It must not block, and
+// must be set before the first signal is recorded.
+func (t *Tracker) OnChange(f func()) { t.onChange = f }
 
 // Leaving reports whether the replica or VM must get no new work.
 func (t *Tracker) Leaving(name string) bool {
@@ -74,55 +72,55 @@
 	return shard.set.Leaving(time.Now(), name)
 }
 
-// RecordEngineLeaving takes in a replica's refusal with the code `leaving`, or a
-// load report that says so.
+// RecordEngineLeaving records a refusal with the code `leaving`, or a load report that
+// says the replica is leaving.
 func (t *Tracker) RecordEngineLeaving(name string) {
-	t.sign(name, func(s *Set, now time.Time) (Signal, bool) { return s.RecordEngine(now, now, name, true) })
+	t.apply(name, func(s *Set, now time.Time) (Signal, bool) { return s.RecordEngine(now, now, name, true) })
 }
 
-// RecordEngineServing takes in a load report that does not say leaving, and when the
-// replica measured it by this node's clock.
-func (t *Tracker) RecordEngineServing(name string, measured time.Time) {
-	t.sign(name, func(s *Set, now time.Time) (Signal, bool) { return s.RecordEngine(now, measured, name, false) })
+// RecordEngineServing records a load report that does not say leaving. measuredAt is
+// when the replica measured it, by this node's clock.
+func (t *Tracker) RecordEngineServing(name string, measuredAt time.Time) {
+	t.apply(name, func(s *Set, now time.Time) (Signal, bool) { return s.RecordEngine(now, measuredAt, name, false) })
 }
 
-// RecordInstances takes in this node's copy of the platform's list.
+// RecordInstances records this node's copy of the platform's instance list.
 func (t *Tracker) RecordInstances(list []platform.Instance) {
 	for _, instance := range list {
 		leaving := instance.State == platform.InstanceLeaving
-		t.sign(instance.Name, func(s *Set, now time.Time) (Signal, bool) {
+		t.apply(instance.Name, func(s *Set, now time.Time) (Signal, bool) {
 			return s.RecordInstance(now, instance.Name, leaving)
 		})
 	}
 }
 
-// RecordOperator takes in what the configuration of a revision says of a name.
+// RecordOperator records the state of a name in the given configuration revision.
 func (t *Tracker) RecordOperator(name string, leaving bool, revision int64) {
-	t.sign(name, func(s *Set, now time.Time) (Signal, bool) {
+	t.apply(name, func(s *Set, now time.Time) (Signal, bool) {
 		return s.RecordOperator(now, name, leaving, revision)
 	})
 }
 
-// Receive takes in a note of a peer.
+// Receive merges a note from another node. Malformed notes are ignored.
 func (t *Tracker) Receive(n *membershipv1.Note) {
 	source, name, ok := strings.Cut(n.GetKey(), keySeparator)
 	if !ok || len(n.GetValue()) != 1 {
 		return
 	}
-	vote := Signal{
+	signal := Signal{
 		Name: name, Source: Source(source), Leaving: n.Value[0] == valueLeaving,
 		Version: n.Version, Expires: time.UnixMilli(n.Expires),
 	}
 	shard := t.shard(name)
 	shard.mu.Lock()
-	news := shard.set.Merge(time.Now(), vote)
+	changed := shard.set.Merge(time.Now(), signal)
 	shard.mu.Unlock()
-	if news {
-		t.tell(vote, "yes")
+	if changed {
+		t.notify(signal, "yes")
 	}
 }
 
-// The values of a note.
+// Values of a note.
 const (
 	valueServing byte = iota
 	valueLeaving
@@ -132,42 +130,42 @@
 	return &t.shards[xxhash.Sum64String(name)%trackerShards]
 }
 
-func (t *Tracker) sign(name string, apply func(*Set, time.Time) (Signal, bool)) {
+func (t *Tracker) apply(name string, update func(*Set, time.Time) (Signal, bool)) {
 	shard := t.shard(name)
 	shard.mu.Lock()
-	vote, news := apply(shard.set, time.Now())
+	signal, changed := update(shard.set, time.Now())
 	shard.mu.Unlock()
-	if !news {
+	if !changed {
 		return
 	}
-	t.tell(vote, "no")
-	if err := t.publisher.Publish(note(vote)); err != nil {
-		t.dropped.Inc()
+	t.notify(signal, "no")
+	if err := t.publisher.Publish(toNote(signal)); err != nil {
+		t.unpublishedTotal.Inc()
 	}
 }
 
-// tell counts a piece of news and passes it on.
-func (t *Tracker) tell(vote Signal, fromPeer string) {
+// notify counts a change and calls onChange.
+func (t *Tracker) notify(signal Signal, fromPeer string) {
 	leaving := "no"
-	if vote.Leaving {
+	if signal.Leaving {
 		leaving = "yes"
 	}
-	t.signs.WithLabelValues(string(vote.Source), fromPeer, leaving).Inc()
-	if t.changed != nil {
-		t.changed()
+	t.signalsTotal.WithLabelValues(string(signal.Source), fromPeer, leaving).Inc()
+	if t.onChange != nil {
+		t.onChange()
 	}
 }
 
-func note(vote Signal) *membershipv1.Note {
+func toNote(signal Signal) *membershipv1.Note {
 	value := valueServing
-	if vote.Leaving {
+	if signal.Leaving {
 		value = valueLeaving
 	}
 	return &membershipv1.Note{
 		Kind:    NoteKind,
-		Key:     string(vote.Source) + keySeparator + vote.Name,
-		Version: vote.Version,
+		Key:     string(signal.Source) + keySeparator + signal.Name,
+		Version: signal.Version,
 		Value:   []byte{value},
-		Expires: vote.Expires.UnixMilli(),
+		Expires: signal.Expires.UnixMilli(),
 	}
 }
--- a/internal/leaving/tracker_test.go
+++ b/internal/leaving/tracker_test.go
@@ -18,13 +18,13 @@
 
 const (
 	nodes = 8
-	// limit is the promise: no new work this long after the first sign.
-	limit = 3 * time.Second
+	// propagationLimit is the guaranteed time from the first signal until all nodes stop sending
+	// new work.
+	propagationLimit = 3 * time.Second
 )
 
-// TestAllNodesKnowWithinThreeSeconds gives a sign of each source to one node
-// of eight and looks at the seven others.
-func TestAllNodesKnowWithinThreeSeconds(t *testing.T) {
+// TestSignalReachesAllNodes records a signal from each source on one of eight nodes.
+func TestSignalReachesAllNodes(t *testing.T) {
 	signs := map[string]func(t *Tracker, name string){
 		"refusal or report": func(t *Tracker, name string) { t.RecordEngineLeaving(name) },
 		"operator":          func(t *Tracker, name string) { t.RecordOperator(name, true, 4) },
@@ -39,27 +39,27 @@
 			name := "replica of " + title
 			sign(trackers[3], name)
 			took := time.Duration(0)
-			for ; countLeaving(trackers, name) < nodes && took < limit; took += 100 * time.Millisecond {
+			for ; countLeaving(trackers, name) < nodes && took < propagationLimit; took += 100 * time.Millisecond {
 				time.Sleep(100 * time.Millisecond)
 			}
-			t.Logf("%s: %d of %d nodes know after %v", title, countLeaving(trackers, name), nodes, took)
+			t.Logf("%s: received by %d of %d nodes after %v", title, countLeaving(trackers, name), nodes, took)
 			if countLeaving(trackers, name) < nodes {
-				t.Errorf("%s: not all nodes know after %v", title, limit)
+				t.Errorf("%s: not received by all nodes after %v", title, propagationLimit)
 			}
 		}
 	})
 }
 
-func TestReplicaThatServesAgainIsUsedEverywhere(t *testing.T) {
+func TestServingSignalReachesAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		trackers, stop := startNodes(t)
 		defer stop()
 		trackers[0].RecordEngineLeaving("r")
-		time.Sleep(limit)
+		time.Sleep(propagationLimit)
 		trackers[5].RecordEngineServing("r", time.Now())
-		time.Sleep(limit)
+		time.Sleep(propagationLimit)
 		if n := countLeaving(trackers, "r"); n != 0 {
-			t.Errorf("%d nodes still think that the replica leaves", n)
+			t.Errorf("replica still leaving on %d nodes", n)
 		}
 	})
 }
@@ -74,7 +74,8 @@
 	return n
 }
 
-// startNodes joins eight nodes in memory and waits until they know each other.
+// startNodes starts eight nodes on an in-memory network and waits until they have
+// joined.
 func startNodes(t *testing.T) ([]*Tracker, func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	net := membershiptest.NewNetwork()
--- a/internal/nodesync/best.go
+++ b/internal/nodesync/best.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// best is the first nodes of those offered, by an order.
-type best struct {
-	most    int
+// topNodes selects the first limit nodes in the order of compare.
+type topNodes struct {
+	limit   int
 	compare func(a, b *Node) int
 	nodes   []Node
 }
 
-// offer takes the node in if it is before one of those taken, or there are too few.
-func (b *best) offer(n *Node) {
-	at := len(b.nodes)
-	for at > 0 && b.compare(n, &b.nodes[at-1]) < 0 {
-		at--
+// offer inserts the node if it is among the first limit nodes offered so far.
+func (b *topNodes) offer(n *Node) {
+	index := len(b.nodes)
+	for index > 0 && b.compare(n, &b.nodes[index-1]) < 0 {
+		index--
 	}
-	if at >= b.most {
+	if index >= b.limit {
 		return
 	}
-	b.nodes = slices.Insert(b.nodes, at, *n)
-	b.nodes = b.nodes[:min(len(b.nodes), b.most)]
+	b.nodes = slices.Insert(b.nodes, index, *n)
+	b.nodes = b.nodes[:min(len(b.nodes), b.limit)]
 }
--- a/internal/nodesync/convert.go
+++ b/internal/nodesync/convert.go
@@ -18,15 +18,16 @@
 	}
 }
 
-// nodeFromProto counts the age from the instant at which the call began.
-func nodeFromProto(n *nodesyncv1.Node, began boottime.Instant) Node {
+// nodeFromProto computes LastSeen from the start of the call, so that the transmission
+// time never makes a node look more recently seen than it was.
+func nodeFromProto(n *nodesyncv1.Node, callStart boottime.Instant) Node {
 	return Node{
 		Name: n.GetName(), AvailabilityZone: n.GetAvailabilityZone(),
 		EntryAddress: n.GetEntryAddress(), PeerAddress: n.GetPeerAddress(),
 		Ready: n.GetReady(), Leaving: n.GetLeaving(),
 		ProcessorShare: n.GetProcessorShare(), DutyFence: n.GetDutyFence(),
 
-		LastSeen: began.Add(-microseconds(n.GetHeardAge())),
+		LastSeen: callStart.Add(-microseconds(n.GetHeardAge())),
 	}
 }
 
@@ -58,7 +59,7 @@
 	converted := make([]*nodesyncv1.Load, 0, len(loads))
 	for _, l := range loads {
 		converted = append(converted, &nodesyncv1.Load{
-			Replica: l.Replica, Running: int32(l.Running), Prefill: int32(l.PrefillBacklog.Total()), PrefillByRank: readingToProto(l.PrefillBacklog), Light: int32(l.RunningShort), Tokens: int32(l.TokensInMemory), Failures: float32(l.FailureScore),
+			Replica: l.Replica, Running: int32(l.Running), Prefill: int32(l.PrefillBacklog.Total()), PrefillByRank: backlogToProto(l.PrefillBacklog), Light: int32(l.RunningShort), Tokens: int32(l.TokensInMemory), Failures: float32(l.FailureScore),
 		})
 	}
 	return converted
@@ -68,37 +69,37 @@
 	converted := make([]placement.Load, 0, len(loads))
 	for _, l := range loads {
 		converted = append(converted, placement.Load{
-			Replica: l.GetReplica(), Running: int(l.GetRunning()), PrefillBacklog: readingFromProto(l), RunningShort: int(l.GetLight()), TokensInMemory: int(l.GetTokens()), FailureScore: float64(l.GetFailures()),
+			Replica: l.GetReplica(), Running: int(l.GetRunning()), PrefillBacklog: backlogFromProto(l), RunningShort: int(l.GetLight()), TokensInMemory: int(l.GetTokens()), FailureScore: float64(l.GetFailures()),
 		})
 	}
 	return converted
 }
 
-// readingToProto leaves out the zeros at the end.
-func readingToProto(r placement.PrefillBacklog) []int32 {
-	var told []int32
-	for rank, tokens := range r {
+// backlogToProto omits trailing zeros.
+func backlogToProto(backlog placement.PrefillBacklog) []int32 {
+	var byRank []int32
+	for rank, tokens := range backlog {
 		if tokens == 0 {
 			continue
 		}
-		told = append(told, make([]int32, rank-len(told))...)
-		told = append(told, int32(tokens))
+		byRank = append(byRank, make([]int32, rank-len(byRank))...)
+		byRank = append(byRank, int32(tokens))
 	}
-	return told
+	return byRank
 }
 
-// readingFromProto takes what is told without ranks for the most urgent one: it is
-// ahead of every request.
-func readingFromProto(l *nodesyncv1.Load) placement.PrefillBacklog {
-	var r placement.PrefillBacklog
-	told := l.GetPrefillByRank()
-	if len(told) == 0 {
-		r[0] = int(l.GetPrefill())
+// backlogFromProto counts a backlog without ranks as most urgent, that is, ahead of
+// every request.
+func backlogFromProto(l *nodesyncv1.Load) placement.PrefillBacklog {
+	var backlog placement.PrefillBacklog
+	byRank := l.GetPrefillByRank()
+	if len(byRank) == 0 {
+		backlog[0] = int(l.GetPrefill())
 	}
-	for rank, tokens := range told[:min(len(told), placement.Ranks)] {
-		r[rank] = int(tokens)
+	for rank, tokens := range byRank[:min(len(byRank), placement.Ranks)] {
+		backlog[rank] = int(tokens)
 	}
-	return r
+	return backlog
 }
 
 func placementsToProto(list []placement.Placement) []*nodesyncv1.Placement {
--- a/internal/nodesync/crashes.go
+++ b/internal/nodesync/crashes.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// crashNews is the age up to which crashes are told: some forty rounds.
-	crashNews = 20 * time.Second
-	// maxCrashes bounds the records in one message.
-	maxCrashes = 256
+	// crashMaxAge bounds the age of the crashes that are sent; it is about ninety
+	// rounds.
+	crashMaxAge     = 20 * time.Second
+	maxCrashRecords = 256
 )
 
-// recentCrashes are the records that other nodes may not have yet.
+// recentCrashes returns the records that other nodes may not have yet.
 func recentCrashes(records []quarantine.Record, now time.Time) []*nodesyncquarantine.Record {
 	var recent []quarantine.Record
 	for _, r := range records {
-		if now.Sub(r.LastCrash) < crashNews && len(recent) < maxCrashes {
+		if now.Sub(r.LastCrash) < crashMaxAge && len(recent) < maxCrashRecords {
 			recent = append(recent, r)
 		}
 	}
--- a/internal/nodesync/cursors.go
+++ b/internal/nodesync/cursors.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// toldOverlap is the time before the last exchange with a node of which it is told once
-// more: an answer may be lost, and what came in while it was made may be missing in it.
-const toldOverlap = roundEvery
+// cursorOverlap is how far back placements are sent again: a response may have been lost,
+// or may lack placements made while it was built.
+const cursorOverlap = roundInterval
 
-// cursors are the times up to which each other node was told of placements. They are
-// safe for concurrent use, and bounded by MaxNodes.
-type cursors struct {
-	mu   sync.Mutex
-	told map[string]time.Time
+// placementCursors stores the time up to which placements were sent to each other node.
+// It is safe for concurrent use and bounded by MaxNodes.
+type placementCursors struct {
+	mu        sync.Mutex
+	sentUntil map[string]time.Time
 }
 
-// of is the time from which on the node is to be told.
-func (c *cursors) of(node string) time.Time {
+// since returns the time from which on placements must be sent to the node.
+func (c *placementCursors) since(node string) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.told[node].Add(-toldOverlap)
+	return c.sentUntil[node].Add(-cursorOverlap)
 }
 
-// set notes that the node was told of all up to the time.
-func (c *cursors) set(node string, at time.Time) {
+// set records that all placements up to the time were sent to the node.
+func (c *placementCursors) set(node string, at time.Time) {
 	if node == "" {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.told) >= MaxNodes {
-		c.told = nil
+	if len(c.sentUntil) >= MaxNodes {
+		c.sentUntil = nil
 	}
-	if c.told == nil {
-		c.told = make(map[string]time.Time)
+	if c.sentUntil == nil {
+		c.sentUntil = make(map[string]time.Time)
 	}
-	c.told[node] = at
+	c.sentUntil[node] = at
 }
 
-// forget has the node told of all again: it may have started anew.
-func (c *cursors) forget(node string) {
+// reset makes the next message to the node contain all placements: it may have
+// restarted.
+func (c *placementCursors) reset(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.told, node)
+	delete(c.sentUntil, node)
 }
--- a/internal/nodesync/doc.go
+++ b/internal/nodesync/doc.go
@@ -1,14 +1,14 @@
-// Package nodesync spreads what nodes know between them, so that a node which
-// the platform's store turns away learns of configurations and replicas from
-// the others, and so that all see each other's load and failures.
+// Package nodesync exchanges soft state between nodes: the configuration, the replica
+// listing, loads, placements, crashes, rate limits and the nodes themselves. A node
+// that cannot read the platform's store gets the configuration and the listing from
+// other nodes.
 //
-// Each node asks a few others several times a second: drawn at random in a small
-// fleet, mostly hubs in a large one (docs/design/node-sync.md); one call carries both
-// sides' state. Ages are told in place of times, and counted
-// from the start of the call that brought them, so that what is believed is
-// never fresher than the truth, whatever the clocks and however long a node
-// stood still.
+// Each node calls a few others several times a second: random ones in a small fleet,
+// mostly hubs in a large one (docs/design/node-sync.md). One call carries the state of
+// both sides. Messages contain ages instead of times, and the receiver subtracts an age
+// from the start of the call. State therefore never looks fresher than it is,
+// regardless of clock differences, delays and pauses.
 //
-// It holds soft state: one entry a node, bounded by MaxNodes. A platform outage
-// does not touch it.
+// The state has one entry per node and is bounded by MaxNodes. The exchange works
+// without the platform.
 package nodesync
--- a/internal/nodesync/entries_test.go
+++ b/internal/nodesync/entries_test.go
@@ -5,48 +5,44 @@
 	"testing"
 )
 
-// TestCallersOfAZoneAreSentToItsNodes: a fleet of hundreds, of which callers take a
-// part only. Where the same first nodes were told to all, four zones of five sent
-// everything across.
-func TestCallersOfAZoneAreSentToItsNodes(t *testing.T) {
+// TestEntryNodesAreInTheCallersZone guards against sending most callers to other zones.
+func TestEntryNodesAreInTheCallersZone(t *testing.T) {
 	nodes := fleetOf(240, 5)
 	taken := make(map[string]int)
 	for _, zone := range []string{"z0", "z1", "z2", "z3", "z4"} {
 		want := names(nodes[0].EntryNodes(zone))
 		if len(want) != EntryNodesPerZone {
-			t.Fatalf("%s: %d entries, want %d", zone, len(want), EntryNodesPerZone)
+			t.Fatalf("%s: %d entry nodes, want %d", zone, len(want), EntryNodesPerZone)
 		}
 		for _, n := range nodes {
 			if got := names(n.EntryNodes(zone)); !slices.Equal(got, want) {
-				t.Errorf("%s: %s tells %v, others %v", zone, n.options.Self().Name, got, want)
+				t.Errorf("%s: entry nodes computed by %s are %v, want %v", zone, n.options.Self().Name, got, want)
 			}
 		}
 		for _, entry := range nodes[0].EntryNodes(zone) {
 			taken[entry.AvailabilityZone]++
 			if entry.AvailabilityZone != zone {
-				t.Errorf("callers of %s are sent to %s", zone, entry.AvailabilityZone)
+				t.Errorf("entry node of %s is in %s", zone, entry.AvailabilityZone)
 			}
 		}
 	}
 	if len(taken) != 5 {
-		t.Errorf("entries of %v", taken)
+		t.Errorf("entry nodes by zone: %v, want five zones", taken)
 	}
 }
 
-// TestEntriesHaveTheMostProcessor: they serve what the others of their zone do not.
-func TestEntriesHaveTheMostProcessor(t *testing.T) {
+func TestEntryNodesHaveTheLargestProcessorShare(t *testing.T) {
 	nodes := fleetOf(240, 3)
-	strong := nodes[9].options.Self()
-	strong.ProcessorShare, strong.LastSeen = 0.8, 101*second
+	large := nodes[9].options.Self()
+	large.ProcessorShare, large.LastSeen = 0.8, 101*second
 	nodes[0].now = 101 * second
-	nodes[0].options.Nodes.Merge(strong)
-	if first := nodes[0].EntryNodes(strong.AvailabilityZone)[0]; first.Name != strong.Name {
-		t.Errorf("the first entry is %s, want %s, which has the most processor", first.Name, strong.Name)
+	nodes[0].options.Nodes.Merge(large)
+	if first := nodes[0].EntryNodes(large.AvailabilityZone)[0]; first.Name != large.Name {
+		t.Errorf("first entry node is %s, want %s with the largest processor share", first.Name, large.Name)
 	}
 }
 
-// TestCallersOfALostZoneAreSentElsewhere: to different nodes for each zone.
-func TestCallersOfALostZoneAreSentElsewhere(t *testing.T) {
+func TestCallersOfLostZoneAreSentToOtherZones(t *testing.T) {
 	nodes := fleetOf(240, 3)
 	n := nodes[1]
 	for _, other := range nodes {
@@ -56,30 +52,28 @@
 	}
 	lost, unknown := n.EntryNodes("z0"), n.EntryNodes("somewhere")
 	if len(lost) != EntryNodesPerZone || len(unknown) != EntryNodesPerZone {
-		t.Fatalf("%d and %d entries", len(lost), len(unknown))
+		t.Fatalf("%d and %d entry nodes", len(lost), len(unknown))
 	}
 	for _, entry := range lost {
 		if entry.AvailabilityZone == "z0" {
-			t.Errorf("callers are sent to %s, which is gone", entry.Name)
+			t.Errorf("callers are sent to %s, which has failed", entry.Name)
 		}
 	}
 	if slices.Equal(names(lost), names(unknown)) {
-		t.Error("callers of all lost zones are sent to the same nodes")
+		t.Error("different lost zones have the same entry nodes")
 	}
 }
 
-// TestEachAnswerTellsTheEntriesOfTheZone: their news are needed by all nodes that
-// callers of the zone ask.
-func TestEachAnswerTellsTheEntriesOfTheZone(t *testing.T) {
+func TestResponseIncludesEntryNodes(t *testing.T) {
 	nodes := fleetOf(240, 3)
 	n := nodes[5]
-	told := names(n.told("z1", n.now))
+	included := names(n.nodesForResponse("z1", n.now))
 	for _, entry := range n.EntryNodes("z1") {
-		if entry.Name != n.options.Self().Name && !slices.Contains(told, entry.Name) {
-			t.Errorf("%s does not tell of the entry %s", n.options.Self().Name, entry.Name)
+		if entry.Name != n.options.Self().Name && !slices.Contains(included, entry.Name) {
+			t.Errorf("response of %s lacks the entry node %s", n.options.Self().Name, entry.Name)
 		}
 	}
-	if slices.Sort(told); len(slices.Compact(told)) != len(told) {
-		t.Errorf("a node is told twice: %v", told)
+	if slices.Sort(included); len(slices.Compact(included)) != len(included) {
+		t.Errorf("duplicate node in the response: %v", included)
 	}
 }
--- a/internal/nodesync/hub.go
+++ b/internal/nodesync/hub.go
@@ -11,57 +11,54 @@
 	"galenatrestle/internal/boottime"
 )
 
-// In a small fleet each node hears from each other one within a second. In a
-// larger one it would hear of a part only, or have to call hundreds of times a
-// second. There, hubs add up the loads of some nodes of their availability zone
-// each, and are asked for the sum of the fleet by these and for their part by the
-// other hubs: load news reach all nodes in two rounds, for a few calls a node. Which
-// nodes these are follows from what all know of the nodes; where two differ on it for
-// a while, both add up, and nothing is lost but some accuracy.
+// In a small fleet nodes exchange loads directly. In a larger one that would take
+// hundreds of calls a second per node. There, each hub sums the loads of a group of nodes
+// in its availability zone, members fetch the fleet's sum from their hub, and hubs fetch
+// each other's group sums. Loads reach all nodes in two rounds. Each node computes the
+// hubs from its own view of the fleet; while views differ, two nodes may aggregate a
+// group, which only makes the sums less accurate.
 
 const (
-	// leastNodesWithHubs is the number of nodes from which there are hubs.
-	leastNodesWithHubs = 16
-	// nodesPerHub bounds the nodes that ask one hub: at 5 times a second and
-	// 10 kB an answer that is 1.6 MB a second.
+	// minNodesForHubs is the fleet size from which on there are hubs.
+	minNodesForHubs = 16
+	// nodesPerHub determines the number of hubs. 32 members that call 5 times a second
+	// for responses of 10 kB take 1.6 MB a second.
 	nodesPerHub = 32
 )
 
-// choiceStandsFor is how long the choice of the hubs stands where no node is known
-// to have changed: only nodes that fall silent are noticed that late.
-const choiceStandsFor = 100 * time.Millisecond
-
-// hubList is the choice of the hubs for a while. It is safe for concurrent use.
-type hubList struct {
-	mu      sync.Mutex
-	hubs    []Node
-	at      boottime.Instant
-	changes uint64
-	leaving bool
+// hubCacheTTL is how long the hubs are reused if no node is known to have changed. It
+// delays only the detection of silent nodes.
+const hubCacheTTL = 100 * time.Millisecond
+
+// hubCache caches the chosen hubs. It is safe for concurrent use.
+type hubCache struct {
+	mu          sync.Mutex
+	hubs        []Node
+	chosenAt    boottime.Instant
+	nodeChanges uint64
+	selfLeaving bool
 }
 
-// hubs are the nodes that add up, those of one availability zone one after the
-// other; none in a small fleet. The list is shared and not to be changed.
+// hubs returns the hubs, grouped by availability zone; none in a small fleet. The slice
+// is shared and must not be modified.
 func (s *Sync) hubs(now boottime.Instant) []Node {
 	self := s.options.Self()
 	changes := s.options.Nodes.changeCount()
-	l := &s.hubList
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	age := now.Sub(l.at)
-	if l.at != 0 && age >= 0 && age < choiceStandsFor && l.changes == changes && l.leaving == self.Leaving {
-		return l.hubs
+	cache := &s.hubCache
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	age := now.Sub(cache.chosenAt)
+	if cache.chosenAt != 0 && age >= 0 && age < hubCacheTTL && cache.nodeChanges == changes && cache.selfLeaving == self.Leaving {
+		return cache.hubs
 	}
-	l.hubs, l.at, l.changes, l.leaving = s.chooseHubs(self, now), now, changes, self.Leaving
-	return l.hubs
+	cache.hubs, cache.chosenAt, cache.nodeChanges, cache.selfLeaving = s.chooseHubs(self, now), now, changes, self.Leaving
+	return cache.hubs
 }
 
-// compareForHub orders the nodes of one availability zone, those first that become
-// hubs first: the ones that are ready, of these the ones with the most processor, and
-// then some that all nodes agree on. Where none is ready, as in an outage of the
-// platform's store, there are hubs all the same: without them each node would look
-// for the store's return itself.
-func compareForHub(a, b *Node) int {
+// compareHubCandidates orders the nodes of one availability zone by preference as hubs.
+// Nodes that are not ready are eligible: in an outage of the platform's store no node may
+// be ready, and without hubs every node would poll the store.
+func compareHubCandidates(a, b *Node) int {
 	return cmp.Or(
 		compareReady(a, b),
 		cmp.Compare(b.ProcessorShare, a.ProcessorShare),
@@ -69,7 +66,6 @@
 	)
 }
 
-// compareReady puts ready nodes first.
 func compareReady(a, b *Node) int {
 	switch {
 	case a.Ready == b.Ready:
@@ -81,11 +77,11 @@
 	}
 }
 
-// rankOf orders the nodes; all nodes have the same order.
-func rankOf(name string) uint64 { return xxhash.Sum64String(name) }
+// hashRank returns a hash that orders nodes identically on all nodes.
+func hashRank(name string) uint64 { return xxhash.Sum64String(name) }
 
-// hubFor is the one of the hubs that adds up for the node; its name is empty where
-// none does.
+// hubFor returns the hub that aggregates the node's loads; its name is empty if there is
+// none.
 func hubFor(n Node, hubs []Node) Node {
 	var own Node
 	var lowest uint64
@@ -96,33 +92,31 @@
 		if hub.AvailabilityZone != n.AvailabilityZone {
 			continue
 		}
-		// Each hub of the zone gets about the same part of its nodes.
-		if rank := rankOf(n.Name + hub.Name); own.Name == "" || rank < lowest {
+		// Rendezvous hashing spreads the nodes evenly over the hubs of their zone.
+		if rank := hashRank(n.Name + hub.Name); own.Name == "" || rank < lowest {
 			own, lowest = hub, rank
 		}
 	}
 	return own
 }
 
-// Role is a node's part in spreading news.
+// Role is a node's role in the exchange of state.
 type Role int
 
-// The roles.
 const (
-	// Peer nodes are those of a fleet without hubs.
+	// Peer is a node without a hub, as in a small fleet.
 	Peer Role = iota
-	// PrimaryHub nodes are the first of their availability zone that add up for others.
+	// PrimaryHub is the first hub of its availability zone.
 	PrimaryHub
-	// SecondaryHub nodes add up too, in a zone that is too large for one.
+	// SecondaryHub is a further hub in an availability zone that is too large for one.
 	SecondaryHub
-	// Member nodes ask a hub.
+	// Member is a node whose loads a hub aggregates.
 	Member
 )
 
-// addsUp says whether a node of the role adds up for others.
-func (r Role) addsUp() bool { return r == PrimaryHub || r == SecondaryHub }
+func (r Role) aggregates() bool { return r == PrimaryHub || r == SecondaryHub }
 
-// Role is this node's part now.
+// Role returns this node's current role.
 func (s *Sync) Role() Role { return roleOf(s.options.Self(), s.hubs(s.options.Clock())) }
 
 func roleOf(n Node, hubs []Node) Role {
--- a/internal/nodesync/hub_loads_test.go
+++ b/internal/nodesync/hub_loads_test.go
@@ -11,25 +11,25 @@
 	"galenatrestle/internal/boottime"
 )
 
-// TestMembersTellLoadsToHubsOnly: in a fleet with hubs the sums bring the loads, and
-// what two members tell each other of theirs crosses availability zones for nothing.
-func TestMembersTellLoadsToHubsOnly(t *testing.T) {
+// TestMembersSendLoadsToHubsOnly guards against sending loads twice, directly and in
+// sums.
+func TestMembersSendLoadsToHubsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := largeFleet(30)
 		hub := nodes[0].hubOf("z0", 100*second)
 		member, other := memberOf(nodes, hub.Name), memberOf(nodes, nodes[0].hubOf("z1", 100*second).Name)
-		ask := func(name string) bool { return member.request(target{name: name}, member.now).GetWithoutLoads() }
-		if ask(other.options.Self().Name) {
-			t.Error("a member that has no sums yet tells no loads")
+		omitsLoads := func(name string) bool { return member.request(target{name: name}, member.now).GetWithoutLoads() }
+		if omitsLoads(other.options.Self().Name) {
+			t.Error("member without sums omits loads for another member")
 		}
 		for range 3 {
 			round(t, nodes)
 		}
-		if !ask(other.options.Self().Name) {
-			t.Error("a member tells another one its loads")
+		if !omitsLoads(other.options.Self().Name) {
+			t.Error("member with sums sends loads to another member")
 		}
-		if ask(hub.Name) {
-			t.Error("a member tells its hub no loads")
+		if omitsLoads(hub.Name) {
+			t.Error("member omits loads for its hub")
 		}
 		request := member.request(target{name: other.options.Self().Name}, member.now)
 		response, err := other.Exchange(t.Context(), connect.NewRequest(request))
@@ -38,15 +38,15 @@
 		}
 		answer := response.Msg
 		if len(answer.GetLoads()) > 0 || len(answer.GetPlacements()) > 0 {
-			t.Errorf("a member answers with loads %v and placements %v", answer.GetLoads(), answer.GetPlacements())
+			t.Errorf("member responds with loads %v and placements %v", answer.GetLoads(), answer.GetPlacements())
 		}
 		if !other.options.Placer.HasFleetLoads(time.Now()) || other.options.Placer.HasFleetLoads(time.Now().Add(time.Hour)) {
-			t.Error("the sums of a fleet count for a while")
+			t.Error("fleet sums must be available now and expire within an hour")
 		}
 	})
 }
 
-// memberOf is a node for which the hub adds up.
+// memberOf returns a node whose loads the hub aggregates.
 func memberOf(nodes []*testNode, hub string) *testNode {
 	for _, n := range nodes {
 		if self := n.options.Self(); self.Name != hub && hubFor(self, n.hubs(n.now)).Name == hub {
@@ -56,8 +56,7 @@
 	return nil
 }
 
-// named is the node of the name.
-func named(nodes []*testNode, name string) *testNode {
+func findNode(nodes []*testNode, name string) *testNode {
 	for _, n := range nodes {
 		if n.options.Self().Name == name {
 			return n
@@ -66,7 +65,7 @@
 	return nil
 }
 
-// hubOf is the first hub of the availability zone, as the node sees it.
+// hubOf returns the first hub of the availability zone in the view of the node.
 func (n *testNode) hubOf(zone string, now boottime.Instant) Node {
 	for _, hub := range n.hubs(now) {
 		if hub.AvailabilityZone == zone {
@@ -76,9 +75,8 @@
 	return Node{}
 }
 
-// TestALargeZoneHasSeveralHubs: one hub for a hundred nodes is asked 500 times a
-// second, which is more than a small VM's processor and link bear.
-func TestALargeZoneHasSeveralHubs(t *testing.T) {
+// TestLargeZoneHasSeveralHubs guards against overloading a hub with too many members.
+func TestLargeZoneHasSeveralHubs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := fleetOf(240, 3)
 		hubs := nodes[0].hubs(nodes[0].now)
@@ -90,20 +88,20 @@
 			roles[n.Role()]++
 		}
 		if roles[PrimaryHub] != 3 || roles[SecondaryHub] != 6 || roles[Member] != 231 {
-			t.Errorf("roles %v, want one first hub in each zone", roles)
+			t.Errorf("roles %v, want one primary hub in each zone", roles)
 		}
 		asked := make(map[string]int)
 		for _, n := range nodes {
 			self := n.options.Self()
 			hub := hubFor(self, n.hubs(n.now))
 			if hub.AvailabilityZone != self.AvailabilityZone {
-				t.Errorf("%s of %s asks a hub of %s", self.Name, self.AvailabilityZone, hub.AvailabilityZone)
+				t.Errorf("%s in %s has a hub in %s", self.Name, self.AvailabilityZone, hub.AvailabilityZone)
 			}
 			asked[hub.Name]++
 		}
 		for name, members := range asked {
 			if members > 2*nodesPerHub {
-				t.Errorf("%d nodes ask the hub %s", members, name)
+				t.Errorf("%d members of hub %s", members, name)
 			}
 		}
 		for range 3 {
@@ -117,37 +115,38 @@
 	})
 }
 
-// TestNodesWithMoreProcessorBecomeHubs: hubs work for the others.
-func TestNodesWithMoreProcessorBecomeHubs(t *testing.T) {
+func TestNodesWithLargestProcessorShareBecomeHubs(t *testing.T) {
 	nodes := largeFleet(30)
-	strong := nodes[10].options.Self()
-	strong.ProcessorShare, strong.LastSeen = 0.8, 101*second
+	large := nodes[10].options.Self()
+	large.ProcessorShare, large.LastSeen = 0.8, 101*second
 	nodes[0].now = 101 * second
-	nodes[0].options.Nodes.Merge(strong)
-	if hub := nodes[0].hubOf(strong.AvailabilityZone, nodes[0].now); hub.Name != strong.Name {
-		t.Errorf("the hub is %s, want %s, which has the most processor", hub.Name, strong.Name)
+	nodes[0].options.Nodes.Merge(large)
+	if hub := nodes[0].hubOf(large.AvailabilityZone, nodes[0].now); hub.Name != large.Name {
+		t.Errorf("hub is %s, want %s with the largest processor share", hub.Name, large.Name)
 	}
 }
 
-// TestEachAnswerTellsTheHubs: a node of a large fleet hears of most others seldom.
-func TestEachAnswerTellsTheHubs(t *testing.T) {
+// TestResponseIncludesHubs: nodes need current state of the hubs, but rarely hear of
+// others.
+func TestResponseIncludesHubs(t *testing.T) {
 	nodes := fleetOf(240, 3)
 	hubs := nodes[0].hubs(nodes[0].now)
 	for _, n := range nodes[:20] {
-		told := n.told("", n.now)
-		if len(told) > len(hubs)+maxTold {
-			t.Errorf("%d nodes are told", len(told))
+		included := n.nodesForResponse("", n.now)
+		if len(included) > len(hubs)+maxSampledNodes {
+			t.Errorf("%d nodes are told", len(included))
 		}
 		for _, hub := range hubs {
-			if hub.Name != n.options.Self().Name && !slices.ContainsFunc(told, func(n Node) bool { return n.Name == hub.Name }) {
-				t.Errorf("%s does not tell of the hub %s", n.options.Self().Name, hub.Name)
+			if hub.Name != n.options.Self().Name && !slices.ContainsFunc(included, func(n Node) bool { return n.Name == hub.Name }) {
+				t.Errorf("response of %s lacks the hub %s", n.options.Self().Name, hub.Name)
 			}
 		}
 	}
 }
 
-// TestHubsStayInAnOutageOfTheStore: no node is ready then.
-func TestHubsStayInAnOutageOfTheStore(t *testing.T) {
+// TestHubsRemainDuringStoreOutage: in an outage of the platform's store no node is
+// ready.
+func TestHubsRemainDuringStoreOutage(t *testing.T) {
 	nodes := largeFleet(30)
 	before := nodes[0].hubs(nodes[0].now)
 	for _, n := range nodes {
@@ -159,9 +158,9 @@
 		}
 	}
 	for _, n := range nodes {
-		plain := n.options.Self
+		originalSelf := n.options.Self
 		n.options.Self = func() Node {
-			self := plain()
+			self := originalSelf()
 			self.Ready = false
 			return self
 		}
@@ -169,18 +168,18 @@
 			t.Errorf("%s sees %d hubs, want %d", n.options.Self().Name, len(after), len(before))
 		}
 	}
-	// A ready node goes before those that are not.
+	// A ready node precedes those that are not.
 	ready := nodes[10].options.Self()
 	ready.Ready, ready.LastSeen = true, 102*second
 	nodes[0].now = 102 * second
 	nodes[0].options.Nodes.Merge(ready)
 	if hub := nodes[0].hubOf(ready.AvailabilityZone, nodes[0].now); hub.Name != ready.Name {
-		t.Errorf("the hub is %s, want %s, which alone is ready", hub.Name, ready.Name)
+		t.Errorf("hub is %s, want %s, the only ready node", hub.Name, ready.Name)
 	}
 }
 
-// TestMembersMostlyAskInTheirZone: what crosses availability zones is paid for.
-func TestMembersMostlyAskInTheirZone(t *testing.T) {
+// TestMembersMostlyCallTheirOwnZone: traffic between availability zones costs money.
+func TestMembersMostlyCallTheirOwnZone(t *testing.T) {
 	nodes := largeFleet(30)
 	hub := nodes[0].hubOf("z0", nodes[0].now)
 	member := memberOf(nodes, hub.Name)
@@ -190,18 +189,18 @@
 			if target.name == hub.Name {
 				asked["hub"]++
 			} else {
-				asked[named(nodes, target.name).options.Self().AvailabilityZone]++
+				asked[findNode(nodes, target.name).options.Self().AvailabilityZone]++
 			}
 		}
 	}
 	across := asked["z1"] + asked["z2"]
 	if asked["hub"] < 80 || asked["z0"] < 20 || across == 0 || across > 15 {
-		t.Errorf("asked %v in 80 rounds", asked)
+		t.Errorf("calls in 80 rounds: %v", asked)
 	}
 }
 
-// hearsOf has the node hear of the others now.
-func (n *testNode) hearsOf(others []*testNode) {
+// sees marks the others as seen by the node now.
+func (n *testNode) sees(others []*testNode) {
 	for _, other := range others {
 		self := other.options.Self()
 		self.LastSeen = n.now
@@ -209,39 +208,39 @@
 	}
 }
 
-// TestSilentNodesCountForTheNumberOfHubs: nodes that hear of different ones lately
+// TestSilentNodesCountForNumberOfHubs: nodes that recently saw different nodes must
 // still agree on the hubs.
-func TestSilentNodesCountForTheNumberOfHubs(t *testing.T) {
+func TestSilentNodesCountForNumberOfHubs(t *testing.T) {
 	nodes := fleetOf(240, 3)
 	want := len(nodes[0].hubs(nodes[0].now))
 	a := nodes[1]
 	a.now += 5 * second
-	a.hearsOf(nodes[:120])
+	a.sees(nodes[:120])
 	if got := len(a.hubs(a.now)); got != want {
-		t.Errorf("%d hubs where half of the nodes were heard of lately, want %d", got, want)
+		t.Errorf("%d hubs with half of the nodes seen recently, want %d", got, want)
 	}
 }
 
-// TestNodesHeardOfNowAndThenAreNotLookedFor: in a large fleet that are most.
-func TestNodesHeardOfNowAndThenAreNotLookedFor(t *testing.T) {
+// TestRarelySeenNodesAreNotProbed: in a large fleet most nodes are seen rarely, and
+// probing them all would dominate the calls.
+func TestRarelySeenNodesAreNotProbed(t *testing.T) {
 	nodes := fleetOf(240, 3)
 	a := nodes[1]
 	a.now += 2 * second
-	a.hearsOf(nodes[:120])
+	a.sees(nodes[:120])
 	for range 20 {
 		if targets := a.targets(); len(targets) > callsPerRound {
-			t.Fatalf("%d nodes are asked in a round", len(targets))
+			t.Fatalf("%d nodes are called in a round", len(targets))
 		}
 	}
 	a.options.Nodes.AddCandidate(Node{Name: "new", PeerAddress: "new:1"}, a.now)
 	if !slices.ContainsFunc(a.targets(), func(t target) bool { return t.name == "new" }) {
-		t.Error("a node that was announced is not looked for")
+		t.Error("candidate node is not called")
 	}
 }
 
-// TestANodeThatIsNoHubTellsNoSums: it hears of no other hub's part, so that what it
-// could tell as the fleet's use would be a small part of it.
-func TestANodeThatIsNoHubTellsNoSums(t *testing.T) {
+// TestNonHubSendsNoSums: without the sums of other hubs, its fleet sum would be too low.
+func TestNonHubSendsNoSums(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := largeFleet(30)
 		for range 3 {
@@ -256,7 +255,7 @@
 			t.Fatal(err)
 		}
 		if sums := response.Msg; len(sums.GetFleetLoads()) > 0 || len(sums.GetGroupLoads()) > 0 {
-			t.Errorf("sums of the fleet %v and of a group %v", sums.GetFleetLoads(), sums.GetGroupLoads())
+			t.Errorf("fleet sums %v and group sums %v, want none", sums.GetFleetLoads(), sums.GetGroupLoads())
 		}
 	})
 }
--- a/internal/nodesync/hub_test.go
+++ b/internal/nodesync/hub_test.go
@@ -11,11 +11,11 @@
 	"galenatrestle/internal/replica"
 )
 
-// largeFleet is nodes of three availability zones that know each other, each
+// largeFleet returns n nodes in three availability zones that know each other, each
 // with one running request on replica "i".
 func largeFleet(n int) []*testNode { return fleetOf(n, 3) }
 
-// fleetOf is largeFleet with so many availability zones.
+// fleetOf is largeFleet with the given number of availability zones.
 func fleetOf(n, zones int) []*testNode {
 	listing := replica.Listing{Revision: 1, Replicas: []replica.Replica{{ID: "i", Upstream: "u", Address: "x:1"}}}
 	var nodes []*testNode
@@ -24,9 +24,9 @@
 		node := newTestNode(fmt.Sprintf("vm-%02d", i), 100*second)
 		node.options.Replicas.Update(listing, 99*second, 99*second)
 		node.options.Placer = placement.NewPlacer(zone, node.options.Replicas, node.options.Rand)
-		plain := node.options.Self
+		originalSelf := node.options.Self
 		node.options.Self = func() Node {
-			self := plain()
+			self := originalSelf()
 			self.AvailabilityZone = zone
 			return self
 		}
@@ -43,7 +43,7 @@
 	return nodes
 }
 
-// round has each node ask its targets of one round.
+// round makes each node call its targets once and returns the number of calls.
 func round(t *testing.T, nodes []*testNode) (calls int) {
 	t.Helper()
 	byAddress := make(map[string]*testNode)
@@ -53,7 +53,7 @@
 	for _, n := range nodes {
 		for _, target := range n.targets() {
 			if to, ok := byAddress[target.address]; ok && to != n {
-				n.asks(t, to, 0, 0)
+				n.exchangeWith(t, to, 0, 0)
 				calls++
 			}
 		}
@@ -61,16 +61,16 @@
 	return calls
 }
 
-func TestAllNodesAgreeOnTheHubOfAZone(t *testing.T) {
+func TestAllNodesAgreeOnHubs(t *testing.T) {
 	nodes := largeFleet(30)
 	for _, zone := range []string{"z0", "z1", "z2"} {
 		want := nodes[0].hubOf(zone, 100*second)
 		if want.AvailabilityZone != zone {
-			t.Fatalf("the hub of %s is %+v", zone, want)
+			t.Fatalf("hub of %s is %+v", zone, want)
 		}
 		for _, n := range nodes {
 			if got := n.hubOf(zone, 100*second); got.Name != want.Name {
-				t.Errorf("%s takes %s for the hub of %s, others %s", n.options.Self().Name, got.Name, zone, want.Name)
+				t.Errorf("%s chooses %s as hub of %s, want %s", n.options.Self().Name, got.Name, zone, want.Name)
 			}
 		}
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-func TestTheFleetsLoadReachesAllNodesInAFewRounds(t *testing.T) {
-	// Loads count for a second, however slow the machine is.
+func TestFleetLoadReachesAllNodesInThreeRounds(t *testing.T) {
+	// Loads expire after a second; a fake clock keeps slow machines from expiring them.
 	synctest.Test(t, func(t *testing.T) {
 		nodes := largeFleet(30)
 		calls := 0
@@ -94,12 +94,12 @@
 			}
 		}
 		if perRound := calls / 3; perRound > 3*len(nodes) {
-			t.Errorf("%d calls a round for %d nodes", perRound, len(nodes))
+			t.Errorf("%d calls per round for %d nodes", perRound, len(nodes))
 		}
 	})
 }
 
-func TestAnotherNodeAddsUpWhereTheHubIsGone(t *testing.T) {
+func TestFailedHubIsReplaced(t *testing.T) {
 	nodes := largeFleet(30)
 	gone := nodes[0].hubOf("z1", 100*second)
 	for _, n := range nodes {
@@ -107,7 +107,7 @@
 	}
 	next := nodes[0].hubOf("z1", 100*second)
 	if next.Name == gone.Name || next.Name == "" {
-		t.Errorf("after %s the hub is %q", gone.Name, next.Name)
+		t.Errorf("hub after failure of %s is %q", gone.Name, next.Name)
 	}
 }
 
@@ -124,20 +124,20 @@
 	}
 }
 
-func TestAHubOfManyZonesAsksEachOtherHub(t *testing.T) {
+func TestHubCallsAllOtherHubs(t *testing.T) {
 	const zones = 9
 	for _, n := range fleetOf(45, zones) {
 		n.options.Nodes.AddCandidate(Node{Name: "silent", PeerAddress: "silent:1"}, n.now)
 		targets := n.targets()
 		if n.Role() == PrimaryHub && len(targets) < zones-1 {
-			t.Errorf("a hub asks %d nodes, want the hubs of %d other zones", len(targets), zones-1)
+			t.Errorf("hub calls %d nodes, want the hubs of %d other zones", len(targets), zones-1)
 		}
 		asksSilent := false
 		for _, target := range targets {
 			asksSilent = asksSilent || target.name == "silent"
 		}
 		if !asksSilent {
-			t.Errorf("%s does not look for the node that was announced", n.options.Self().Name)
+			t.Errorf("%s does not call the candidate node", n.options.Self().Name)
 		}
 	}
 }
--- a/internal/nodesync/hubchoice.go
+++ b/internal/nodesync/hubchoice.go
@@ -7,65 +7,60 @@
 	"galenatrestle/internal/boottime"
 )
 
-// zoneNodes is what the choice of hubs takes of one availability zone.
-type zoneNodes struct {
+// zoneCandidates collects the hub candidates of one availability zone.
+type zoneCandidates struct {
 	name string
-	// size is the number of its nodes, those included that were silent lately: in a
-	// fleet of hundreds a node hears of most others less than once a second, and all
-	// are to work out the same number of hubs.
+	// size includes nodes that were silent for longer than aliveTimeout: in a large fleet
+	// most nodes are heard of less often, and all must compute the same number of hubs.
 	size int
-	hubs best
+	hubs topNodes
 }
 
-// offer takes the node among the hubs if it is one of the best.
-func (z *zoneNodes) offer(n *Node) {
-	z.hubs.most = (z.size + nodesPerHub - 1) / nodesPerHub
+func (z *zoneCandidates) offer(n *Node) {
+	z.hubs.limit = (z.size + nodesPerHub - 1) / nodesPerHub
 	z.hubs.offer(n)
 }
 
-// zoneList is the availability zones, of which there are a few.
-type zoneList []*zoneNodes
+type zoneList []*zoneCandidates
 
-// of is the zone of the name, added where it is new.
-func (l *zoneList) of(name string) *zoneNodes {
+func (l *zoneList) getOrAdd(name string) *zoneCandidates {
 	for _, z := range *l {
 		if z.name == name {
 			return z
 		}
 	}
-	z := &zoneNodes{name: name, hubs: best{compare: compareForHub}}
+	z := &zoneCandidates{name: name, hubs: topNodes{compare: compareHubCandidates}}
 	*l = append(*l, z)
 	return z
 }
 
-// chooseHubs are the first nodes of each availability zone, as many as its size asks
-// for. It goes through the nodes twice and sorts nothing: fifteen times a second a
-// sorted list of 300 nodes took 0.7% of a core.
+// chooseHubs returns the best candidates of each availability zone. It makes two passes
+// instead of sorting, because it runs ten times a second or more.
 func (s *Sync) chooseHubs(self Node, now boottime.Instant) []Node {
 	var zones zoneList
-	zones.of(self.AvailabilityZone).size++
-	staying := 0
+	zones.getOrAdd(self.AvailabilityZone).size++
+	activeCount := 0
 	s.options.Nodes.visit(func(r *record) {
-		if r.remembered(now) {
-			zones.of(r.AvailabilityZone).size++
+		if r.retained(now) {
+			zones.getOrAdd(r.AvailabilityZone).size++
 		}
-		if r.stays(now) {
-			staying++
+		if r.active(now) {
+			activeCount++
 		}
 	})
-	if staying+1 < leastNodesWithHubs {
+	if activeCount+1 < minNodesForHubs {
 		return nil
 	}
 	if !self.Leaving {
-		self.rank = rankOf(self.Name)
-		zones.of(self.AvailabilityZone).offer(&self)
+		self.rank = hashRank(self.Name)
+		zones.getOrAdd(self.AvailabilityZone).offer(&self)
 	}
 	s.options.Nodes.visit(func(r *record) {
-		if r.stays(now) {
-			zones.of(r.AvailabilityZone).offer(&r.Node)
+		if r.active(now) {
+			zones.getOrAdd(r.AvailabilityZone).offer(&r.Node)
 		}
 	})
-	slices.SortFunc(zones, func(a, b *zoneNodes) int { return strings.Compare(a.name, b.name) })
+	slices.SortFunc(zones, func(a, b *zoneCandidates) int { return strings.Compare(a.name, b.name) })
 	var hubs []Node
 	for _, z := range zones {
 		hubs = append(hubs, z.hubs.nodes...)
--- a/internal/nodesync/hubchoice_test.go
+++ b/internal/nodesync/hubchoice_test.go
@@ -10,8 +10,7 @@
 	"galenatrestle/internal/boottime"
 )
 
-// TestHubsAreTheBestOfEachZone compares the choice with sorted lists, in fleets of
-// random nodes of which some are silent, leaving or not ready.
+// TestHubsAreTheBestOfEachZone compares chooseHubs with hubsBySorting in random fleets.
 func TestHubsAreTheBestOfEachZone(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -33,23 +32,23 @@
 	}
 }
 
-// hubsBySorting is the plain way to choose, of which the last node is the choosing
-// one.
+// hubsBySorting is a reference implementation of chooseHubs. The last node is the one
+// that chooses.
 func hubsBySorting(nodes []Node, now boottime.Instant) []Node {
 	sizes := make(map[string]int)
 	var staying []Node
 	for i, n := range nodes {
 		sizes[n.AvailabilityZone]++
-		if i == len(nodes)-1 || now.Sub(n.LastSeen) < aliveFor && !n.Leaving {
-			n.rank = rankOf(n.Name)
+		if i == len(nodes)-1 || now.Sub(n.LastSeen) < aliveTimeout && !n.Leaving {
+			n.rank = hashRank(n.Name)
 			staying = append(staying, n)
 		}
 	}
-	if len(staying) < leastNodesWithHubs {
+	if len(staying) < minNodesForHubs {
 		return nil
 	}
 	slices.SortFunc(staying, func(a, b Node) int {
-		return cmp.Or(cmp.Compare(a.AvailabilityZone, b.AvailabilityZone), compareForHub(&a, &b))
+		return cmp.Or(cmp.Compare(a.AvailabilityZone, b.AvailabilityZone), compareHubCandidates(&a, &b))
 	})
 	var hubs []Node
 	taken := make(map[string]int)
--- a/internal/nodesync/listing.go
+++ b/internal/nodesync/listing.go
@@ -8,12 +8,12 @@
 	"galenatrestle/internal/replica"
 )
 
-// tellListing adds the listing to an answer: what has changed since the caller's
-// where that is known, else the whole. In a fleet of thousands of replicas some
-// change each second, and the whole listing is a quarter of a megabyte.
-func (s *Sync) tellListing(answer *nodesyncv1.ExchangeResponse, asked *nodesyncv1.ExchangeRequest, listing replica.Listing) {
-	delta, known := s.options.Replicas.DeltaSince(asked.GetReplicasDigest())
-	if !known || !asked.GetTakesChanges() {
+// addListing adds the replica listing to a response: only the changes since the caller's
+// listing if possible, because the full listing of a large fleet takes a quarter of a
+// megabyte.
+func (s *Sync) addListing(answer *nodesyncv1.ExchangeResponse, request *nodesyncv1.ExchangeRequest, listing replica.Listing) {
+	delta, known := s.options.Replicas.DeltaSince(request.GetReplicasDigest())
+	if !known || !request.GetTakesChanges() {
 		answer.Replicas = replicasToProto(listing.Replicas)
 		return
 	}
@@ -22,50 +22,48 @@
 	answer.RemovedReplicas = delta.Removed
 }
 
-// errChangesMismatch says that changes of a listing lead to another one than the
-// node that told them has.
-var errChangesMismatch = errors.New("nodesync: the changes of the listing do not lead to the one told")
+var errDeltaMismatch = errors.New("nodesync: replica listing delta does not match the sender's digest")
 
-// takeReplicas takes a newer listing.
-func (s *Sync) takeReplicas(m *nodesyncv1.ExchangeResponse, from string, began boottime.Instant) {
+// mergeReplicas applies the listing of a response unless it is older than the own one.
+func (s *Sync) mergeReplicas(m *nodesyncv1.ExchangeResponse, from string, callStart boottime.Instant) {
 	own, _ := s.options.Replicas.Latest()
 	if m.GetReplicasRevision() == 0 || m.GetReplicasRevision() < own.Revision {
 		return
 	}
-	listing, err := toldListing(m, own)
+	listing, err := decodeListing(m, own)
 	if err != nil {
-		s.wholeListing.Store(true)
-		s.options.Log.Error("take the changes of the listing from "+from, err)
+		s.fullListingNeeded.Store(true)
+		s.options.Log.Error("apply replica listing delta from "+from, err)
 		return
 	}
 	if listing.Revision == 0 {
 		return
 	}
-	readAt := began.Add(-microseconds(m.GetReplicasReadAge()))
+	readAt := callStart.Add(-microseconds(m.GetReplicasReadAge()))
 	s.options.OnReplicaChanges(s.options.Replicas.Update(listing, readAt, s.options.Clock()))
 }
 
-// toldListing is the listing that the answer tells, for a node that has own; it is
-// zero where it can't be told from that.
-func toldListing(m *nodesyncv1.ExchangeResponse, own replica.Listing) (replica.Listing, error) {
-	told := replica.Listing{Revision: m.GetReplicasRevision(), Digest: m.GetReplicasDigest()}
+// decodeListing returns the listing of a response. It is zero if it cannot be built from
+// own.
+func decodeListing(m *nodesyncv1.ExchangeResponse, own replica.Listing) (replica.Listing, error) {
+	listing := replica.Listing{Revision: m.GetReplicasRevision(), Digest: m.GetReplicasDigest()}
 	switch {
-	case told.Digest == own.Digest:
-		told.Replicas = own.Replicas
+	case listing.Digest == own.Digest:
+		listing.Replicas = own.Replicas
 	case m.GetReplicasFrom() != 0:
 		if m.GetReplicasFrom() != own.Digest {
-			// Another answer came first.
+			// Another response has changed the listing since the request was sent.
 			return replica.Listing{}, nil
 		}
 		delta := replica.Delta{Changed: replicasFromProto(m.GetReplicas()), Removed: m.GetRemovedReplicas()}
-		told.Replicas = delta.Apply(own.Replicas)
-		if replica.Digest(told.Replicas) != told.Digest {
-			return replica.Listing{}, errChangesMismatch
+		listing.Replicas = delta.Apply(own.Replicas)
+		if replica.Digest(listing.Replicas) != listing.Digest {
+			return replica.Listing{}, errDeltaMismatch
 		}
 	case len(m.GetReplicas()) == 0:
 		return replica.Listing{}, nil
 	default:
-		told.Replicas, told.Digest = replicasFromProto(m.GetReplicas()), 0
+		listing.Replicas, listing.Digest = replicasFromProto(m.GetReplicas()), 0
 	}
-	return told, nil
+	return listing, nil
 }
--- a/internal/nodesync/loads.go
+++ b/internal/nodesync/loads.go
@@ -8,53 +8,54 @@
 	nodesyncv1 "galenatrestle/internal/gen/trestle/nodesync/v1"
 )
 
-// loadTerms is what a request says of loads.
-type loadTerms struct {
-	// without: neither side tells loads and placements.
-	without bool
-	// addsUp: the asked node adds up for this one.
-	addsUp bool
+// loadOptions says how a request handles loads and placements.
+type loadOptions struct {
+	// omit: neither side sends loads and placements.
+	omit bool
+	// aggregate: the callee is the hub that aggregates this node's loads.
+	aggregate bool
 }
 
-// termsWith is what a request to the node says of loads: with hubs they go only to
-// and from these, unless their sums do not come.
-func (s *Sync) termsWith(name string, now boottime.Instant) loadTerms {
+// loadOptionsFor returns the options for a request to the node. In a fleet with hubs,
+// loads go only to and from hubs unless this node has no current sums.
+func (s *Sync) loadOptionsFor(name string, now boottime.Instant) loadOptions {
 	hubs := s.hubs(now)
 	self := s.options.Self()
 	own := hubFor(self, hubs)
 	switch {
 	case own.Name == "":
-		return loadTerms{}
+		return loadOptions{}
 	case own.Name == name:
-		return loadTerms{addsUp: true}
+		return loadOptions{aggregate: true}
 	case own.Name == self.Name && slices.ContainsFunc(hubs, func(hub Node) bool { return hub.Name == name }):
-		return loadTerms{}
+		return loadOptions{}
 	default:
-		return loadTerms{without: s.options.Placer.HasFleetLoads(time.Now())}
+		return loadOptions{omit: s.options.Placer.HasFleetLoads(time.Now())}
 	}
 }
 
-// takeLoads takes in what a node tells of its load and placements. A hub tells the
-// placements on, and adds up the loads of those that ask it to.
-func (s *Sync) takeLoads(n Node, told toldLoads, now boottime.Instant) {
+// mergeLoads merges the loads and placements of another node. A hub also forwards the
+// placements, and aggregates the loads if requested.
+func (s *Sync) mergeLoads(n Node, received receivedLoads, now boottime.Instant) {
 	at := time.Now()
-	s.options.Placer.SetPeerLoads(n.Name, loadsFromProto(told.loads), told.addsUp, s.options.Nodes.AliveCount(now), at)
-	s.options.Placer.SetPlacements(placementsFromProto(told.placements), told.toHub, at)
+	s.options.Placer.SetPeerLoads(n.Name, loadsFromProto(received.loads), received.aggregate, s.options.Nodes.AliveCount(now), at)
+	s.options.Placer.SetPlacements(placementsFromProto(received.placements), received.selfIsHub, at)
 }
 
-// toldLoads is what a node told of its use of the replicas.
-type toldLoads struct {
+// receivedLoads is the load information of another node.
+type receivedLoads struct {
 	loads      []*nodesyncv1.Load
 	placements []*nodesyncv1.Placement
-	// addsUp: this node adds up for that one; toHub: this node is a hub.
-	addsUp, toHub bool
+	// aggregate: this node aggregates the loads of the sender. selfIsHub: this node is
+	// a hub.
+	aggregate, selfIsHub bool
 }
 
-// tellLoads adds this node's loads to its answer, and the placements that the asking
-// node was not told yet.
-func (s *Sync) tellLoads(answer *nodesyncv1.ExchangeResponse, to string) {
+// addLoads adds this node's loads and the placements that the recipient does not have
+// yet.
+func (s *Sync) addLoads(answer *nodesyncv1.ExchangeResponse, recipient string) {
 	now := time.Now()
 	answer.Loads = loadsToProto(s.options.Placer.Loads(now))
-	answer.Placements = placementsToProto(s.options.Placer.Placements(now, s.cursors.of(to)))
-	s.cursors.set(to, now)
+	answer.Placements = placementsToProto(s.options.Placer.Placements(now, s.cursors.since(recipient)))
+	s.cursors.set(recipient, now)
 }
--- a/internal/nodesync/node.go
+++ b/internal/nodesync/node.go
@@ -2,30 +2,33 @@
 
 import "galenatrestle/internal/boottime"
 
-// Node is what is known of one node.
+// Node is the known state of one node.
 type Node struct {
 	Name             string
 	AvailabilityZone string
-	// EntryAddress is where callers connect, PeerAddress where nodes do.
+	// EntryAddress is for callers, PeerAddress for other nodes.
 	EntryAddress string
 	PeerAddress  string
-	// Ready nodes serve; leaving ones are about to stop.
+	// Ready nodes serve requests; leaving nodes are about to stop.
 	Ready   bool
 	Leaving bool
-	// ProcessorShare is the part of a core that it has; zero where not known.
+	// ProcessorShare is the processor time available to the node, in cores; zero if
+	// unknown.
 	ProcessorShare float32
-	// DutyFence is the fencing token of the duties that it holds; zero: it holds none.
+	// DutyFence is the fencing token of the fleet duties that the node has; zero if it
+	// has none.
 	DutyFence int64
-	// LastSeen is the latest instant at which it was alive.
+	// LastSeen is the latest instant at which the node is known to have been alive.
 	LastSeen boottime.Instant
-	// rank is rankOf the name.
+	// rank is the hashRank of the name.
 	rank uint64
-	// unmet nodes were only suggested.
-	unmet bool
+	// candidate nodes were added by AddCandidate and have not been seen yet.
+	candidate bool
 }
 
-// alike says whether both tell the same of a node, but for the time.
-func (n Node) alike(other Node) bool {
-	n.LastSeen, n.rank, n.unmet = other.LastSeen, other.rank, other.unmet
+// sameState reports whether both have the same state, ignoring LastSeen and internal
+// fields.
+func (n Node) sameState(other Node) bool {
+	n.LastSeen, n.rank, n.candidate = other.LastSeen, other.rank, other.candidate
 	return n == other
 }
--- a/internal/nodesync/options.go
+++ b/internal/nodesync/options.go
@@ -15,34 +15,35 @@
 	"galenatrestle/internal/routesource"
 )
 
-// Options are what a Sync works with.
+// Options configures a Sync.
 type Options struct {
-	// Self returns this node's state; its HeardAt is not used.
+	// Self returns this node's state; LastSeen is not used.
 	Self     func() Node
 	Nodes    *Nodes
 	Routes   *routesource.Current
 	Replicas *replica.Set
-	// OnReplicaChanges is told of each change of the replicas.
+	// OnReplicaChanges is called with the changes of the replica listing.
 	OnReplicaChanges func([]replica.Change)
 	Placer           *placement.Placer
 	Tracker          *quarantine.Tracker
-	// RateLimits are the rates that replicas name.
+	// RateLimits has the rate limits that replicas reported.
 	RateLimits *ratelimit.Table
-	// Clients may be given later by SetClients.
+	// Clients may be set later by SetClients.
 	Clients *peer.Clients
-	// IdleRoundInterval is the number of rounds of which a node that serves nobody makes one.
+	// IdleRoundInterval returns n such that an idle member makes calls only in every
+	// nth round.
 	IdleRoundInterval func() int
-	// SumsMaxAge is how long a hub tells the same sums; zero: it adds up for each
-	// answer.
+	// SumsMaxAge is how long a hub reuses its sums; zero recomputes them for each
+	// response.
 	SumsMaxAge time.Duration
 	Clock      boottime.Clock
-	// FleetTime is the fleet's time of day; nil where nothing is counted by it, and nodes do
-	// not tell theirs.
+	// FleetTime is the fleet's time of day. If nil, wall-clock times are neither sent
+	// nor used.
 	FleetTime *fleettime.Clock
 	Rand      *rand.Rand
 	Log       *eventlog.Log
 }
 
-// DefaultSumsMaxAge is a quarter of the time between two rounds: a member hears little
-// later, and a hub adds up twenty times a second at most.
-const DefaultSumsMaxAge = roundEvery / 4
+// DefaultSumsMaxAge is a quarter of a round: it limits a hub to twenty recomputations a
+// second and adds little delay for members.
+const DefaultSumsMaxAge = roundInterval / 4
--- a/internal/nodesync/ratelimits.go
+++ b/internal/nodesync/ratelimits.go
@@ -9,27 +9,27 @@
 	"galenatrestle/internal/ratelimit"
 )
 
-// takeLimits takes in the rates that another node told in a call that began at the instant.
-// Those of replicas that are not registered, as far as this node knows, are left out: they
-// would never be dropped.
-func (s *Sync) takeLimits(told []*ratelimitv1.Limit, from string, began boottime.Instant) {
-	limits := slices.DeleteFunc(ratelimit.FromProto(told, began), func(l ratelimit.Limit) bool {
+// mergeRateLimits merges the rate limits of another node. It skips those of unknown
+// replicas, because they would never be removed.
+func (s *Sync) mergeRateLimits(received []*ratelimitv1.Limit, from string, callStart boottime.Instant) {
+	limits := slices.DeleteFunc(ratelimit.FromProto(received, callStart), func(l ratelimit.Limit) bool {
 		return !s.options.Replicas.HasProcess(l.Replica, l.StartedAt)
 	})
-	for _, news := range s.options.RateLimits.Take(limits) {
-		s.options.Log.Write(&ratelimit.Changed{Limit: news, From: from, Age: s.options.Clock().Sub(news.At)})
+	for _, changed := range s.options.RateLimits.Take(limits) {
+		s.options.Log.Write(&ratelimit.Changed{Limit: changed, From: from, Age: s.options.Clock().Sub(changed.At)})
 	}
 }
 
-// PermitIssuer is the node that issues the permits of the replica: one of the hubs, or in a
-// small fleet one of the nodes that stay. All that know the same nodes name the same one.
+// PermitIssuer returns the node that issues the replica's rate limit permits: a hub, or
+// an active node in a small fleet. Nodes with the same view of the fleet choose the same
+// one.
 func (s *Sync) PermitIssuer(replica string) Node {
 	self := s.options.Self()
 	now := s.options.Clock()
 	var issuer Node
 	var lowest uint64
 	offer := func(n Node) {
-		if rank := rankOf(replica + n.Name); issuer.Name == "" || rank < lowest {
+		if rank := hashRank(replica + n.Name); issuer.Name == "" || rank < lowest {
 			issuer, lowest = n, rank
 		}
 	}
@@ -40,7 +40,7 @@
 		return issuer
 	}
 	s.options.Nodes.visit(func(r *record) {
-		if r.stays(now) {
+		if r.active(now) {
 			offer(r.Node)
 		}
 	})
@@ -50,23 +50,24 @@
 	return issuer
 }
 
-// SeenFraction is the part of the nodes that may serve which were heard of lately, this node
-// included. The others may have ended, or be cut off and decide without this part.
+// SeenFraction returns the fraction of the known nodes, without leaving ones, that were
+// seen recently. The others may have stopped, or be in a partition that decides on its
+// own.
 func (s *Sync) SeenFraction() float64 {
 	now := s.options.Clock()
-	lately := max(aliveFor, silentAfter(s.options.Nodes.KnownCount(now)-1)) + lateNews
-	known, heard := 1, 1
+	window := max(aliveTimeout, silenceThreshold(s.options.Nodes.KnownCount(now)-1)) + lateTolerance
+	known, seen := 1, 1
 	s.options.Nodes.visit(func(r *record) {
-		if !r.remembered(now) || r.Leaving || r.unmet {
+		if !r.retained(now) || r.Leaving || r.candidate {
 			return
 		}
 		known++
-		if !r.failed && r.heardWithin(lately, now) {
-			heard++
+		if !r.failed && r.seenWithin(window, now) {
+			seen++
 		}
 	})
-	return float64(heard) / float64(known)
+	return float64(seen) / float64(known)
 }
 
-// lateNews is how much later than usual a node may be heard of while it counts as heard.
-const lateNews = 500 * time.Millisecond
+// lateTolerance is added to the usual time between two sightings of a node.
+const lateTolerance = 500 * time.Millisecond
--- a/internal/nodesync/ratelimits_test.go
+++ b/internal/nodesync/ratelimits_test.go
@@ -9,15 +9,16 @@
 	"galenatrestle/internal/replica"
 )
 
-// names has the node get an answer of the replica that names a rate, or none any more.
-func (n *testNode) names(id string, limited bool) {
+// reportRate simulates a response of the replica that reports a rate limit, or none any
+// more.
+func (n *testNode) reportRate(id string, limited bool) {
 	n.options.RateLimits.Answered(ratelimit.Answer{
 		Replica: replica.Replica{ID: id}, Limited: limited, PerSecond: 2, Succeeded: true, SentAt: n.now, At: n.now + 1,
 	})
 }
 
-// knowing is the number of nodes that know a limit.
-func knowing(nodes []*testNode) int {
+// nodesWithLimit counts the nodes that know a limit.
+func nodesWithLimit(nodes []*testNode) int {
 	known := 0
 	for _, n := range nodes {
 		known += len(n.options.RateLimits.InForce())
@@ -25,48 +26,48 @@
 	return known
 }
 
-func TestARateThatAReplicaNamesIsKnownToAllNodesInAFewRounds(t *testing.T) {
+func TestRateLimitReachesAllNodesInThreeRounds(t *testing.T) {
 	for _, count := range []int{7, 60, 360} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			nodes := largeFleet(count)
-			nodes[count-1].names("i", true)
+			nodes[count-1].reportRate("i", true)
 			tick(nodes)
 			for range 3 {
 				round(t, nodes)
 				tick(nodes)
 			}
-			if got := knowing(nodes); got != count {
-				t.Errorf("%d of %d nodes know the rate after three rounds", got, count)
+			if got := nodesWithLimit(nodes); got != count {
+				t.Errorf("%d of %d nodes have the limit after three rounds", got, count)
 			}
-			nodes[0].names("i", false)
+			nodes[0].reportRate("i", false)
 			for range 3 {
 				round(t, nodes)
 				tick(nodes)
 			}
-			if got := knowing(nodes); got != 0 {
-				t.Errorf("%d nodes keep to a rate that was lifted", got)
+			if got := nodesWithLimit(nodes); got != 0 {
+				t.Errorf("%d nodes still have a removed limit", got)
 			}
 		})
 	}
 }
 
-// tick lets the time of all nodes go on by a round.
+// tick advances the clocks of all nodes by one round.
 func tick(nodes []*testNode) {
 	for _, n := range nodes {
-		n.now += boottime.Instant(roundEvery)
+		n.now += boottime.Instant(roundInterval)
 	}
 }
 
-func TestARateOfAReplicaThatIsNotRegisteredIsNotTaken(t *testing.T) {
+func TestRateLimitOfUnknownReplicaIsIgnored(t *testing.T) {
 	nodes := largeFleet(2)
-	nodes[1].names("gone", true)
-	nodes[0].asks(t, nodes[1], 0, 0)
+	nodes[1].reportRate("gone", true)
+	nodes[0].exchangeWith(t, nodes[1], 0, 0)
 	if limits := nodes[0].options.RateLimits.InForce(); len(limits) != 0 {
-		t.Errorf("limits %v", limits)
+		t.Errorf("limits %v, want none", limits)
 	}
 }
 
-func TestAllNodesNameTheSameIssuer(t *testing.T) {
+func TestAllNodesAgreeOnPermitIssuer(t *testing.T) {
 	for _, count := range []int{1, 7, 60, 360} {
 		issuers := make(map[string]bool)
 		nodes := largeFleet(count)
@@ -76,45 +77,45 @@
 			issuers[want.Name] = true
 			for _, n := range nodes {
 				if got := n.PermitIssuer(id); got.Name != want.Name || got.PeerAddress != want.PeerAddress {
-					t.Fatalf("%d nodes: %s and %s issue the permits of %s", count, got.Name, want.Name, id)
+					t.Fatalf("%d nodes: issuers %s and %s for replica %s", count, got.Name, want.Name, id)
 				}
 			}
 		}
 		if len(issuers) < min(count, 3) {
-			t.Errorf("%d nodes: %d issue permits", count, len(issuers))
+			t.Errorf("%d nodes: %d issuers", count, len(issuers))
 		}
 	}
 }
 
-func TestALeavingNodeIssuesNoPermits(t *testing.T) {
+func TestLeavingNodeIssuesNoPermits(t *testing.T) {
 	nodes := largeFleet(3)
 	leaving := nodes[0].PermitIssuer("i")
 	for _, n := range nodes {
-		plain := n.options.Self
-		if plain().Name == leaving.Name {
+		originalSelf := n.options.Self
+		if originalSelf().Name == leaving.Name {
 			n.options.Self = func() Node {
-				self := plain()
+				self := originalSelf()
 				self.Leaving = true
 				return self
 			}
 			continue
 		}
-		told := leaving
-		told.Leaving, told.LastSeen = true, n.now+1
-		n.options.Nodes.Merge(told)
+		state := leaving
+		state.Leaving, state.LastSeen = true, n.now+1
+		n.options.Nodes.Merge(state)
 	}
 	for _, n := range nodes {
 		if got := n.PermitIssuer("i"); got.Name == leaving.Name {
-			t.Errorf("%s takes the leaving node for the issuer", n.options.Self().Name)
+			t.Errorf("%s chooses the leaving node as issuer", n.options.Self().Name)
 		}
 	}
 }
 
-// Two parts of a fleet that can't hear each other have an issuer each.
-func TestAnIssuerUsesThePartOfTheNodesThatItHears(t *testing.T) {
+// TestSeenFractionDuringPartition: each part of a partitioned fleet has its own issuer.
+func TestSeenFractionDuringPartition(t *testing.T) {
 	nodes := largeFleet(8)
 	if got := nodes[0].SeenFraction(); got != 1 {
-		t.Errorf("share %g with all nodes heard", got)
+		t.Errorf("fraction %g with all nodes seen", got)
 	}
 	for range 20 {
 		tick(nodes)
@@ -122,7 +123,7 @@
 			for _, a := range half {
 				for _, b := range half {
 					if a != b {
-						a.asks(t, b, 0, 0)
+						a.exchangeWith(t, b, 0, 0)
 					}
 				}
 			}
@@ -130,7 +131,7 @@
 	}
 	for _, n := range nodes {
 		if got := n.SeenFraction(); got != 0.5 {
-			t.Errorf("%s: share %g with half of the nodes heard", n.options.Self().Name, got)
+			t.Errorf("%s: fraction %g with half of the nodes seen", n.options.Self().Name, got)
 		}
 	}
 }
--- a/internal/nodesync/rest_bench_test.go
+++ b/internal/nodesync/rest_bench_test.go
@@ -8,12 +8,9 @@
 	"connectrpc.com/connect"
 )
 
-// BenchmarkRest is the parts of a node's work for the others in fleets of several
-// sizes, without the transport of its calls: those of a round, of an answer to
-// another member, and of an answer that a hub gives a member. With 300 nodes, sorted
-// lists in place of an ordered table took 273 us for targets (9), 442 for choose_hubs
-// (35), 195 for told (21), 374 for exchange_hub (166), 234 for exchange_member (44).
-func BenchmarkRest(b *testing.B) {
+// BenchmarkRoundParts measures the parts of a round and of its responses without the
+// transport.
+func BenchmarkRoundParts(b *testing.B) {
 	for _, nodes := range []int{20, 100, 300, 1000} {
 		member, hub := benchFleet(nodes, 160)
 		parts := []struct {
@@ -22,7 +19,7 @@
 		}{
 			{"targets", func() { member.targets() }},
 			{"choose_hubs", func() { member.chooseHubs(member.options.Self(), member.now) }},
-			{"told", func() { member.told("z0", member.now) }},
+			{"told", func() { member.nodesForResponse("z0", member.now) }},
 			{"request_hub", func() { member.request(target{name: hub.options.Self().Name}, member.now) }},
 			{"exchange_hub", func() { exchange(b, member, hub) }},
 			{"exchange_member", func() { exchange(b, member, member) }},
@@ -38,12 +35,12 @@
 	}
 }
 
-// exchange is one call without its transport.
-func exchange(b *testing.B, asking, asked *testNode) {
-	request := asking.request(target{name: asked.options.Self().Name}, asking.now)
-	response, err := asked.Exchange(context.Background(), connect.NewRequest(request))
+// exchange makes one call without its transport.
+func exchange(b *testing.B, caller, callee *testNode) {
+	request := caller.request(target{name: callee.options.Self().Name}, caller.now)
+	response, err := callee.Exchange(context.Background(), connect.NewRequest(request))
 	if err != nil {
 		b.Fatal(err)
 	}
-	asking.take(response.Msg, request, asking.now)
+	caller.handleResponse(response.Msg, request, caller.now)
 }
--- a/internal/nodesync/sync.go
+++ b/internal/nodesync/sync.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// roundEvery is the time between two rounds of calls.
-	roundEvery = 200 * time.Millisecond
-	// roundJitter spreads the rounds of nodes that started together.
+	roundInterval = 200 * time.Millisecond
+	// roundJitter keeps nodes that started together from calling at the same time.
 	roundJitter = 50 * time.Millisecond
-	// callsPerRound is the number of nodes asked in a round. With eight nodes
-	// news reach all in two rounds, for some 14 calls a second each way.
+	// callsPerRound is the number of nodes called in a round. In a fleet of eight, news
+	// reaches all nodes in two rounds.
 	callsPerRound = 3
-	// usedLately is how long after its last choice of a replica a node counts as used.
-	usedLately = 3 * time.Second
-	// callTimeout bounds one call; nodes are a few milliseconds apart.
+	// recentUseWindow is how long after its last choice of a replica a node does not
+	// count as idle.
+	recentUseWindow = 3 * time.Second
+	// callTimeout bounds one call; the latency between nodes is a few milliseconds.
 	callTimeout = 400 * time.Millisecond
 )
 
@@ -37,22 +37,20 @@
 type Sync struct {
 	options Options
 
-	// mu guards the random source, and asking: the peer addresses of calls in
-	// flight.
-	mu     sync.Mutex
-	asking map[string]bool
-	// wholeListing says that the next request asks for the whole listing.
-	wholeListing atomic.Bool
-	// rounds counts the rounds.
-	rounds  atomic.Uint64
-	sums    sums
-	hubList hubList
-	cursors cursors
+	// mu guards options.Rand and inFlight, the peer addresses with a call in flight.
+	mu       sync.Mutex
+	inFlight map[string]bool
+	// fullListingNeeded makes the next request ask for the full listing.
+	fullListingNeeded atomic.Bool
+	rounds            atomic.Uint64
+	sums              hubSums
+	hubCache          hubCache
+	cursors           placementCursors
 }
 
-// New returns a Sync that asks nobody until Run.
+// New returns a Sync. It makes no calls until Run, Round or Announce is called.
 func New(options Options) *Sync {
-	return &Sync{options: options, asking: make(map[string]bool)}
+	return &Sync{options: options, inFlight: make(map[string]bool)}
 }
 
 // Handler returns the path and the handler to mount on the peer listener.
@@ -60,28 +58,27 @@
 	return nodesyncv1connect.NewNodeSyncServiceHandler(s)
 }
 
-// Run asks other nodes until ctx ends.
+// Run calls other nodes periodically until ctx is done.
 func (s *Sync) Run(ctx context.Context) {
 	for tick := 0; ; tick++ {
 		if s.due(tick) {
 			s.Round(ctx)
 		}
 		jitter := s.jitter()
-		if err := ctxtime.Sleep(ctx, roundEvery+jitter); err != nil {
+		if err := ctxtime.Sleep(ctx, roundInterval+jitter); err != nil {
 			return
 		}
 	}
 }
 
-// due says whether the node asks others at the tick. A member of a large fleet that has
-// placed no request lately has no load to tell and decides nothing: it asks less often,
-// as long as it hears of changes in time. Of 295 nodes some two hundred serve nobody.
+// due reports whether the node makes calls at the tick. An idle member has no load to
+// send and calls less often; in a large fleet most nodes are idle.
 func (s *Sync) due(tick int) bool {
-	every := s.options.IdleRoundInterval()
-	if every <= 1 || tick%every == 0 {
+	interval := s.options.IdleRoundInterval()
+	if interval <= 1 || tick%interval == 0 {
 		return true
 	}
-	return s.options.Placer.UsedWithin(usedLately, time.Now()) || s.Role() != Member
+	return s.options.Placer.UsedWithin(recentUseWindow, time.Now()) || s.Role() != Member
 }
 
 func (s *Sync) jitter() time.Duration {
@@ -90,80 +87,79 @@
 	return time.Duration(s.options.Rand.Int64N(int64(roundJitter)))
 }
 
-// Round asks a few nodes, without waiting for their answers.
+// Round starts calls to a few nodes without waiting for their responses.
 func (s *Sync) Round(ctx context.Context) {
 	for _, t := range s.targets() {
-		go s.ask(ctx, t)
+		go s.call(ctx, t)
 	}
 }
 
-// ask makes one call, unless one to the same node is in flight.
-func (s *Sync) ask(ctx context.Context, t target) {
-	if !s.begin(t.address) {
+// call makes one call, unless a call to the same address is in flight.
+func (s *Sync) call(ctx context.Context, t target) {
+	if !s.beginCall(t.address) {
 		return
 	}
-	defer s.done(t.address)
+	defer s.endCall(t.address)
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	began := s.options.Clock()
+	callStart := s.options.Clock()
 	client := nodesyncv1connect.NewNodeSyncServiceClient(
 		s.options.Clients.HTTPClient(t.address), s.options.Clients.URL(t.address))
-	asked := time.Now()
-	request := s.request(t, began)
+	sentAt := time.Now()
+	request := s.request(t, callStart)
 	response, err := client.Exchange(ctx, connect.NewRequest(request))
 	if err != nil {
-		// A path that went silent takes nothing any more: begin a new one.
+		// The connection may be dead; the next call must open a new one.
 		s.options.Clients.Forget(t.address)
-		s.options.Nodes.MarkFailed(t.name, began)
-		s.cursors.forget(t.name)
+		s.options.Nodes.MarkFailed(t.name, callStart)
+		s.cursors.reset(t.name)
 		s.options.Log.Write(&peerLost{target: t, err: err})
 		return
 	}
 	if !request.GetWithoutLoads() {
-		s.cursors.set(t.name, asked)
+		s.cursors.set(t.name, sentAt)
 	}
-	s.take(response.Msg, request, began)
+	s.handleResponse(response.Msg, request, callStart)
 }
 
-func (s *Sync) begin(address string) bool {
+func (s *Sync) beginCall(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.asking[address] {
+	if s.inFlight[address] {
 		return false
 	}
-	s.asking[address] = true
+	s.inFlight[address] = true
 	return true
 }
 
-func (s *Sync) done(address string) {
+func (s *Sync) endCall(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.asking, address)
+	delete(s.inFlight, address)
 }
 
-// request is this node's state and what it knows already, for the node asked.
 func (s *Sync) request(t target, now boottime.Instant) *nodesyncv1.ExchangeRequest {
 	self := s.options.Self()
 	self.LastSeen = now
 	listing, _ := s.options.Replicas.Latest()
-	terms := s.termsWith(t.name, now)
+	loads := s.loadOptionsFor(t.name, now)
 	request := &nodesyncv1.ExchangeRequest{
-		Self:             s.ownToProto(self, now),
+		Self:             s.selfToProto(self, now),
 		ConfigVersion:    s.options.Routes.Get().Version(),
 		ReplicasRevision: listing.Revision,
 		ReplicasDigest:   listing.Digest,
 		TakesChanges:     true,
-		WithoutLoads:     terms.without,
-		AddsUp:           terms.addsUp,
+		WithoutLoads:     loads.omit,
+		AddsUp:           loads.aggregate,
 		Crashes:          recentCrashes(s.options.Tracker.Records(time.Now()), time.Now()),
 		RateLimits:       ratelimit.ToProto(s.options.RateLimits.Told(), now),
 	}
-	if s.wholeListing.Swap(false) {
+	if s.fullListingNeeded.Swap(false) {
 		request.ReplicasRevision, request.ReplicasDigest = 0, 0
 	}
-	if !terms.without {
+	if !loads.omit {
 		request.Loads = loadsToProto(s.options.Placer.Loads(time.Now()))
-		request.Placements = placementsToProto(s.options.Placer.Placements(time.Now(), s.cursors.of(t.name)))
+		request.Placements = placementsToProto(s.options.Placer.Placements(time.Now(), s.cursors.since(t.name)))
 	}
 	return request
 }
@@ -173,34 +169,33 @@
 	now := s.options.Clock()
 	m := request.Msg
 	caller := nodeFromProto(m.GetSelf(), now)
-	s.takeNode(caller)
-	s.takeTime(m.GetSelf(), now)
+	s.mergeNode(caller)
+	s.observeTime(m.GetSelf(), now)
 	s.options.Tracker.Merge(time.Now(), quarantinerpc.FromProto(m.GetCrashes()))
-	s.takeLimits(m.GetRateLimits(), caller.Name, now)
+	s.mergeRateLimits(m.GetRateLimits(), caller.Name, now)
 	if m.GetWithoutLoads() {
 		return connect.NewResponse(s.response(m)), nil
 	}
-	isHub := s.Role().addsUp()
-	s.takeLoads(caller, toldLoads{m.GetLoads(), m.GetPlacements(), m.GetAddsUp(), isHub}, now)
+	isHub := s.Role().aggregates()
+	s.mergeLoads(caller, receivedLoads{m.GetLoads(), m.GetPlacements(), m.GetAddsUp(), isHub}, now)
 	answer := s.response(m)
-	s.tellLoads(answer, caller.Name)
+	s.addLoads(answer, caller.Name)
 	if isHub {
-		s.tellSums(answer, !m.GetAddsUp())
+		s.addSums(answer, !m.GetAddsUp())
 	}
 	return connect.NewResponse(answer), nil
 }
 
-// response tells this node's state, with what the caller does not have.
+// response returns this node's state and whatever newer state the caller lacks.
 func (s *Sync) response(m *nodesyncv1.ExchangeRequest) *nodesyncv1.ExchangeResponse {
 	snapshot := s.options.Routes.Get()
 	listing, readAt := s.options.Replicas.Latest()
-	// The ages are taken after the state they tell of, so that they are not
-	// too young.
+	// Compute the ages after reading the state; otherwise they would be too low.
 	now := s.options.Clock()
 	self := s.options.Self()
 	self.LastSeen = now
 	answer := &nodesyncv1.ExchangeResponse{
-		Self:             s.ownToProto(self, now),
+		Self:             s.selfToProto(self, now),
 		ConfigVersion:    snapshot.Version(),
 		ConfigProofAge:   snapshot.Age(now).Microseconds(),
 		ReplicasRevision: listing.Revision,
@@ -209,65 +204,63 @@
 		Crashes:          recentCrashes(s.options.Tracker.Records(time.Now()), time.Now()),
 		RateLimits:       ratelimit.ToProto(s.options.RateLimits.Told(), now),
 	}
-	for _, n := range s.told(m.GetSelf().GetAvailabilityZone(), now) {
+	for _, n := range s.nodesForResponse(m.GetSelf().GetAvailabilityZone(), now) {
 		answer.Nodes = append(answer.Nodes, nodeToProto(n, now))
 	}
 	if snapshot.Version() > m.GetConfigVersion() {
 		answer.Config = snapshot.Document
 	}
 	if listing.Revision > m.GetReplicasRevision() && answer.ReplicasDigest != m.GetReplicasDigest() {
-		s.tellListing(answer, m, listing)
+		s.addListing(answer, m, listing)
 	}
 	return answer
 }
 
-// take takes in another node's answer to what was asked from the instant on.
-func (s *Sync) take(m *nodesyncv1.ExchangeResponse, asked *nodesyncv1.ExchangeRequest, began boottime.Instant) {
-	node := nodeFromProto(m.GetSelf(), began)
-	node.LastSeen = began
-	s.takeNode(node)
-	s.takeTime(m.GetSelf(), s.options.Clock())
+// handleResponse merges the response to a call that started at callStart.
+func (s *Sync) handleResponse(m *nodesyncv1.ExchangeResponse, request *nodesyncv1.ExchangeRequest, callStart boottime.Instant) {
+	node := nodeFromProto(m.GetSelf(), callStart)
+	node.LastSeen = callStart
+	s.mergeNode(node)
+	s.observeTime(m.GetSelf(), s.options.Clock())
 	for _, n := range m.GetNodes() {
-		s.takeNode(nodeFromProto(n, began))
+		s.mergeNode(nodeFromProto(n, callStart))
 	}
-	if !asked.GetWithoutLoads() {
-		isHub := s.Role().addsUp()
-		s.takeLoads(node, toldLoads{loads: m.GetLoads(), placements: m.GetPlacements(), toHub: isHub}, began)
-		s.takeSums(m, node, asked, isHub)
+	if !request.GetWithoutLoads() {
+		isHub := s.Role().aggregates()
+		s.mergeLoads(node, receivedLoads{loads: m.GetLoads(), placements: m.GetPlacements(), selfIsHub: isHub}, callStart)
+		s.mergeSums(m, node, request, isHub)
 	}
 	s.options.Tracker.Merge(time.Now(), quarantinerpc.FromProto(m.GetCrashes()))
-	s.takeConfig(m, node.Name, began)
-	s.takeReplicas(m, node.Name, began)
-	s.takeLimits(m.GetRateLimits(), node.Name, began)
+	s.mergeConfig(m, node.Name, callStart)
+	s.mergeReplicas(m, node.Name, callStart)
+	s.mergeRateLimits(m.GetRateLimits(), node.Name, callStart)
 }
 
-// ownToProto is this node and its time of day.
-func (s *Sync) ownToProto(self Node, now boottime.Instant) *nodesyncv1.Node {
-	told := nodeToProto(self, now)
+func (s *Sync) selfToProto(self Node, now boottime.Instant) *nodesyncv1.Node {
+	converted := nodeToProto(self, now)
 	if s.options.FleetTime != nil {
-		told.WallTime = s.options.FleetTime.Wall().UnixMicro()
+		converted.WallTime = s.options.FleetTime.Wall().UnixMicro()
 	}
-	return told
+	return converted
 }
 
-// takeTime takes in another node's time of day, heard at the instant.
-func (s *Sync) takeTime(n *nodesyncv1.Node, heardAt boottime.Instant) {
+func (s *Sync) observeTime(n *nodesyncv1.Node, receivedAt boottime.Instant) {
 	if s.options.FleetTime != nil && n.GetWallTime() != 0 {
-		s.options.FleetTime.Told(n.GetName(), time.UnixMicro(n.GetWallTime()), heardAt)
+		s.options.FleetTime.Told(n.GetName(), time.UnixMicro(n.GetWallTime()), receivedAt)
 	}
 }
 
-func (s *Sync) takeNode(n Node) {
+func (s *Sync) mergeNode(n Node) {
 	if s.options.Nodes.Merge(n) {
 		s.options.Log.Write(&peerFound{node: n})
 	}
 }
 
-// takeConfig takes a newer document, or the proof that the own one is the newest or
-// that there is none yet: before the first one, a fleet of 300 nodes made two
-// thousand reads of the store where each looked for it.
-func (s *Sync) takeConfig(m *nodesyncv1.ExchangeResponse, from string, began boottime.Instant) {
-	provenAt := began.Add(-microseconds(m.GetConfigProofAge()))
+// mergeConfig applies a newer document, or the proof that the own document (or having
+// none yet) is current. Without the latter, every node of a starting fleet polls the
+// store.
+func (s *Sync) mergeConfig(m *nodesyncv1.ExchangeResponse, from string, callStart boottime.Instant) {
+	provenAt := callStart.Add(-microseconds(m.GetConfigProofAge()))
 	if len(m.GetConfig()) == 0 {
 		s.options.Routes.Prove(m.GetConfigVersion(), provenAt)
 		return
@@ -282,16 +275,15 @@
 	}
 }
 
-// SetClients gives the clients for calls of other nodes. It is called before
-// Run.
+// SetClients sets the clients for calls to other nodes. It must be called before Run.
 func (s *Sync) SetClients(clients *peer.Clients) { s.options.Clients = clients }
 
-// Announce asks all nodes at once, so that they learn this node's state, and waits
-// for their answers.
+// Announce calls all alive nodes at once, so that they learn this node's state, and
+// waits for the calls to finish.
 func (s *Sync) Announce(ctx context.Context) {
 	var calls sync.WaitGroup
 	for _, n := range s.options.Nodes.Alive(s.options.Clock()) {
-		calls.Go(func() { s.ask(ctx, targetOf(n)) })
+		calls.Go(func() { s.call(ctx, targetOf(n)) })
 	}
 	calls.Wait()
 }
--- a/internal/nodesync/sync_test.go
+++ b/internal/nodesync/sync_test.go
@@ -23,7 +23,7 @@
 	"galenatrestle/internal/routesource"
 )
 
-// testNode is a node whose clock a test moves.
+// testNode is a node with a clock that the test controls.
 type testNode struct {
 	*Sync
 	now boottime.Instant
@@ -60,8 +60,8 @@
 
 const second = boottime.Instant(time.Second)
 
-// asks has a ask b; the request is on its way for out, and the answer for back.
-func (a *testNode) asks(t *testing.T, b *testNode, out, back boottime.Instant) {
+// exchangeWith makes a call from a to b; request and response take the times out and back.
+func (a *testNode) exchangeWith(t *testing.T, b *testNode, out, back boottime.Instant) {
 	t.Helper()
 	began := a.now
 	request := a.request(target{name: b.options.Self().Name}, began)
@@ -73,56 +73,53 @@
 	}
 	a.now += back
 	b.now += back
-	a.take(response.Msg, request, began)
+	a.handleResponse(response.Msg, request, began)
 }
 
-// TestAProofIsNeverBelievedToBeFresherThanItIs exchanges with long delays in
-// both directions, between clocks that have nothing in common.
-func TestAProofIsNeverBelievedToBeFresherThanItIs(t *testing.T) {
+// TestProofNeverLooksFresherThanItIs delays both directions between unrelated clocks.
+func TestProofNeverLooksFresherThanItIs(t *testing.T) {
 	for _, delay := range [][2]boottime.Instant{{0, 0}, {second, 0}, {0, second}, {3 * second, 9 * second}} {
 		a, b := newTestNode("a", 1000*second), newTestNode("b", 50*second)
 		if _, err := b.options.Routes.Take([]byte("7"), b.now-2*second); err != nil {
 			t.Fatal(err)
 		}
-		provenFor := b.now - b.options.Routes.Get().ProvenAt
+		proofAge := b.now - b.options.Routes.Get().ProvenAt
 		began := a.now
-		a.asks(t, b, delay[0], delay[1])
+		a.exchangeWith(t, b, delay[0], delay[1])
 		got := a.options.Routes.Get()
-		if got.Version() != 7 || got.ProvenAt > began-provenFor || a.now-got.ProvenAt < b.now-b.options.Routes.Get().ProvenAt {
-			t.Errorf("delays %v: version %d proved %s ago, at the other node %s ago", delay, got.Version(),
+		if got.Version() != 7 || got.ProvenAt > began-proofAge || a.now-got.ProvenAt < b.now-b.options.Routes.Get().ProvenAt {
+			t.Errorf("delays %v: version %d proven %s ago, at the other node %s ago", delay, got.Version(),
 				a.now.Sub(got.ProvenAt), b.now.Sub(b.options.Routes.Get().ProvenAt))
 		}
 	}
 }
 
-func TestAProofOfAnOlderVersionSaysNothing(t *testing.T) {
+func TestProofOfOlderVersionIsIgnored(t *testing.T) {
 	a, b := newTestNode("a", 100*second), newTestNode("b", 100*second)
 	_, _ = a.options.Routes.Take([]byte("8"), 90*second)
 	_, _ = b.options.Routes.Take([]byte("7"), 99*second)
-	a.asks(t, b, 0, 0)
+	a.exchangeWith(t, b, 0, 0)
 	if got := a.options.Routes.Get(); got.Version() != 8 || got.ProvenAt != 90*second {
-		t.Errorf("version %d proved at %d", got.Version(), got.ProvenAt/second)
+		t.Errorf("version %d proven at %d", got.Version(), got.ProvenAt/second)
 	}
 }
 
-// TestThatThereIsNoConfigurationYetSpreads: else each node of a fleet that starts
-// asks the store for it again and again.
-func TestThatThereIsNoConfigurationYetSpreads(t *testing.T) {
+func TestProofOfMissingConfigurationSpreads(t *testing.T) {
 	a, b, c := newTestNode("a", 100*second), newTestNode("b", 10*second), newTestNode("c", 5*second)
-	a.asks(t, c, 0, 0)
+	a.exchangeWith(t, c, 0, 0)
 	if age := a.options.Routes.Get().Age(a.now); age < 1000*time.Hour {
-		t.Errorf("a node that has read nothing tells that it did %s ago", age)
+		t.Errorf("proof of age %s from a node that has read nothing", age)
 	}
 	b.options.Routes.Prove(0, 9*second)
-	a.asks(t, b, 0, second)
+	a.exchangeWith(t, b, 0, second)
 	if age := a.options.Routes.Get().Age(a.now); age != 2*time.Second {
-		t.Errorf("there was none %s ago, want 2s", age)
+		t.Errorf("proof of missing configuration has age %s, want 2s", age)
 	}
 	_, _ = a.options.Routes.Take([]byte("7"), a.now)
 	b.options.Routes.Prove(0, b.now)
-	a.asks(t, b, 0, 0)
+	a.exchangeWith(t, b, 0, 0)
 	if got := a.options.Routes.Get(); got.Version() != 7 || got.Age(a.now) != 0 {
-		t.Errorf("version %d, age %s after news that there was none", got.Version(), got.Age(a.now))
+		t.Errorf("version %d, age %s after proof of missing configuration", got.Version(), got.Age(a.now))
 	}
 }
 
@@ -130,7 +127,7 @@
 	a, b := newTestNode("a", 100*second), newTestNode("b", 10*second)
 	listing := replica.Listing{Revision: 5, Replicas: []replica.Replica{{ID: "i", Upstream: "u", Address: "x:1", Slots: 3, Draining: true}}}
 	b.options.Replicas.Update(listing, 9*second, 9*second)
-	a.asks(t, b, 0, second)
+	a.exchangeWith(t, b, 0, second)
 	got, readAt := a.options.Replicas.Latest()
 	if got.Revision != 5 || len(got.Replicas) != 1 || got.Replicas[0] != listing.Replicas[0] || readAt != 99*second {
 		t.Errorf("listing %+v read at %d", got, readAt/second)
@@ -139,55 +136,55 @@
 	listing.Revision = 9
 	b.options.Replicas.Update(listing, b.now, b.now)
 	if answer := b.response(a.request(target{name: b.options.Self().Name}, a.now)); len(answer.GetReplicas()) != 0 {
-		t.Error("a listing was sent that the caller has")
+		t.Error("listing was sent although the caller has it")
 	}
-	a.asks(t, b, 0, 0)
+	a.exchangeWith(t, b, 0, 0)
 	if got, _ := a.options.Replicas.Latest(); got.Revision != 9 || len(got.Replicas) != 1 {
 		t.Errorf("listing %+v, want the replicas at revision 9", got)
 	}
 }
 
-func TestNodesLearnOfEachOtherThroughOthers(t *testing.T) {
+func TestNodesDiscoverEachOtherIndirectly(t *testing.T) {
 	a, b, c := newTestNode("a", 100*second), newTestNode("b", 100*second), newTestNode("c", 100*second)
-	b.asks(t, c, 0, 0)
-	a.asks(t, b, 0, 0)
+	b.exchangeWith(t, c, 0, 0)
+	a.exchangeWith(t, b, 0, 0)
 	serving := a.options.Nodes.Serving(a.now)
 	if len(serving) != 2 || serving[0].Name != "b" || serving[1].Name != "c" || serving[1].EntryAddress != "c:2" {
-		t.Errorf("a knows %v", serving)
+		t.Errorf("serving nodes known to a: %v", serving)
 	}
 	if left := a.options.Nodes.Serving(a.now + 2*second); len(left) != 0 {
-		t.Errorf("after two silent seconds %v still serve", left)
+		t.Errorf("serving after two seconds of silence: %v", left)
 	}
 }
 
-func TestANodeThatDoesNotAnswerIsOutUntilItIsHeardOfAgain(t *testing.T) {
+func TestFailedNodeIsNotServingUntilSeenAgain(t *testing.T) {
 	nodes := NewNodes("a", nil)
 	nodes.Merge(Node{Name: "b", Ready: true, LastSeen: 10 * second})
 	nodes.MarkFailed("b", 11*second)
 	if len(nodes.Serving(11*second)) != 0 {
-		t.Error("it is still told to callers")
+		t.Error("failed node is serving")
 	}
 	nodes.Merge(Node{Name: "b", Ready: true, LastSeen: 10*second + 1})
 	if len(nodes.Serving(11*second)) != 0 {
-		t.Error("older news brought it back")
+		t.Error("state from before the failure made the node serving")
 	}
 	nodes.Merge(Node{Name: "b", Ready: true, LastSeen: 11*second + 1})
 	if len(nodes.Serving(11*second+2)) != 1 {
-		t.Error("newer news did not bring it back")
+		t.Error("newer state did not make the node serving")
 	}
 }
 
-func TestALeavingNodeIsNotTold(t *testing.T) {
+func TestLeavingNodeIsNotServing(t *testing.T) {
 	nodes := NewNodes("a", nil)
 	nodes.Merge(Node{Name: "b", Ready: true, LastSeen: 10 * second})
 	nodes.Merge(Node{Name: "b", Ready: false, Leaving: true, LastSeen: 10*second + 1})
 	nodes.Merge(Node{Name: "b", Ready: true, LastSeen: 10 * second})
 	if serving := nodes.Serving(10*second + 2); len(serving) != 0 {
-		t.Errorf("told: %v", serving)
+		t.Errorf("serving: %v", serving)
 	}
 }
 
-func TestSeedsAreAskedUntilANodeAnswersThere(t *testing.T) {
+func TestSeedsAreCalledUntilANodeAnswers(t *testing.T) {
 	a := newTestNode("a", 100*second)
 	a.options.Nodes.SetSeeds([]string{"a:1", "b:1", "c:1"})
 	asked := func() map[string]bool {
@@ -200,15 +197,15 @@
 		return all
 	}
 	if got := asked(); !got["b:1"] || !got["c:1"] || got["a:1"] {
-		t.Errorf("asked %v", got)
+		t.Errorf("called %v", got)
 	}
 	a.options.Nodes.Merge(Node{Name: "b", PeerAddress: "b:1", LastSeen: a.now})
 	if got := a.options.Nodes.unansweredSeeds("a:1", a.now); len(got) != 1 || got[0] != "c:1" {
-		t.Errorf("still asked as seeds: %v", got)
+		t.Errorf("unanswered seeds %v", got)
 	}
 }
 
-func TestTheTableOfNodesIsBounded(t *testing.T) {
+func TestNodeTableIsBounded(t *testing.T) {
 	nodes := NewNodes("a", nil)
 	for i := range 2 * MaxNodes {
 		nodes.Merge(Node{Name: fmt.Sprint(i), LastSeen: second})
@@ -223,19 +220,17 @@
 	fp := quarantine.FingerprintOf("w", "m", []byte("x"))
 	b.options.Tracker.Crash(time.Now(), []quarantine.Fingerprint{fp})
 	b.options.Tracker.Crash(time.Now(), []quarantine.Fingerprint{fp})
-	a.asks(t, b, 0, 0)
+	a.exchangeWith(t, b, 0, 0)
 	if verdict, _ := a.options.Tracker.Decide(time.Now(), fp); verdict != quarantine.Refuse {
 		t.Errorf("verdict %s at the other node", verdict)
 	}
 }
 
-// TestIdleMembersAskSeldom: in a fleet of hundreds most nodes serve nobody, and what
-// they ask is most of what the hubs answer.
-func TestIdleMembersAskSeldom(t *testing.T) {
+func TestIdleMembersCallLessOften(t *testing.T) {
 	nodes := fleetOf(60, 3)
-	hub := named(nodes, nodes[0].hubs(nodes[0].now)[0].Name)
+	hub := findNode(nodes, nodes[0].hubs(nodes[0].now)[0].Name)
 	member := memberOf(nodes, hub.options.Self().Name)
-	rounds := func(n *testNode, since time.Duration) int {
+	roundsDue := func(n *testNode, since time.Duration) int {
 		n.options.IdleRoundInterval = func() int { return 4 }
 		n.options.Placer = placement.NewPlacer("", n.options.Replicas, n.options.Rand)
 		n.options.Placer.Choose(time.Now().Add(-since), "u", &placement.Request{})
@@ -247,20 +242,19 @@
 		}
 		return due
 	}
-	if got := rounds(member, time.Minute); got != 10 {
-		t.Errorf("an idle member makes %d of 40 rounds, want 10", got)
+	if got := roundsDue(member, time.Minute); got != 10 {
+		t.Errorf("idle member calls in %d of 40 rounds, want 10", got)
 	}
-	if got := rounds(member, 0); got != 40 {
-		t.Errorf("a member that serves makes %d of 40 rounds", got)
+	if got := roundsDue(member, 0); got != 40 {
+		t.Errorf("serving member calls in %d of 40 rounds, want 40", got)
 	}
-	if got := rounds(hub, time.Minute); got != 40 {
-		t.Errorf("a hub makes %d of 40 rounds", got)
+	if got := roundsDue(hub, time.Minute); got != 40 {
+		t.Errorf("hub calls in %d of 40 rounds, want 40", got)
 	}
 }
 
-// TestPlacementsAreNotToldAgainAndAgain: a node that was told of a placement does not
-// hear of it in each further answer, and one that may have started anew hears of all.
-func TestPlacementsAreNotToldAgainAndAgain(t *testing.T) {
+// TestPlacementsAreNotSentRepeatedly: only a node that may have restarted gets all again.
+func TestPlacementsAreNotSentRepeatedly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := newTestNode("a", 100*second), newTestNode("b", 100*second)
 		listing := replica.Listing{Revision: 1, Replicas: []replica.Replica{{ID: "i", Upstream: "u", Address: "x:1"}}}
@@ -268,8 +262,8 @@
 		place := func(part uint64) {
 			b.options.Placer.Choose(time.Now(), "u", &placement.Request{PromptTokens: 900, Shared: []placement.PromptPart{{ID: part, Tokens: 100}}})
 		}
-		told := func() int {
-			time.Sleep(2 * toldOverlap)
+		sentParts := func() int {
+			time.Sleep(2 * cursorOverlap)
 			answer, err := b.Exchange(t.Context(), connect.NewRequest(a.request(target{name: "b"}, a.now)))
 			if err != nil {
 				t.Fatal(err)
@@ -281,20 +275,20 @@
 			return parts
 		}
 		place(1)
-		if n := told(); n != 1 {
-			t.Fatalf("%d placements in the first answer", n)
+		if n := sentParts(); n != 1 {
+			t.Fatalf("%d placements in the first response", n)
 		}
-		if n := told(); n != 0 {
-			t.Errorf("%d placements are told again", n)
+		if n := sentParts(); n != 0 {
+			t.Errorf("%d placements sent again", n)
 		}
 		place(2)
-		if n := told(); n != 1 {
+		if n := sentParts(); n != 1 {
 			t.Errorf("%d placements after a new one", n)
 		}
 		place(3)
-		b.cursors.forget("a")
-		if n := told(); n != 2 {
-			t.Errorf("%d placements to a node that may have started anew, want the two that count", n)
+		b.cursors.reset("a")
+		if n := sentParts(); n != 2 {
+			t.Errorf("%d placements to a node that may have restarted, want 2", n)
 		}
 	})
 }
--- a/internal/nodesync/targets.go
+++ b/internal/nodesync/targets.go
@@ -6,7 +6,7 @@
 	"galenatrestle/internal/boottime"
 )
 
-// target is one node to ask; only the address of a seed is known.
+// target is one node to call. For a seed, only the address is known.
 type target struct {
 	name    string
 	address string
@@ -22,74 +22,70 @@
 	return targets
 }
 
-// targets draws the nodes of a round: mostly nodes that are alive, and now and
-// then one that was not heard of lately or a seed.
+// targets returns the nodes to call in a round: mostly alive nodes, and one or more
+// silent nodes or seeds if there are any.
 func (s *Sync) targets() []target {
 	now := s.options.Clock()
-	chosen := s.withHubs(now)
-	// One silent node at least is looked for, however many are asked.
+	chosen := s.aliveTargets(now)
+	// Probe at least one silent node in each round.
 	missing := max(callsPerRound-len(chosen), 0) + 1
-	return append(chosen, s.silent(missing, now)...)
+	return append(chosen, s.silentTargets(missing, now)...)
 }
 
-// silent draws up to most of the nodes that were not heard of lately and of the seeds
-// that have not answered.
-func (s *Sync) silent(most int, now boottime.Instant) []target {
-	silentAfter := silentAfter(s.options.Nodes.KnownCount(now) - 1)
-	drawn := targetsOf(s.options.Nodes.draw(most, s.intN, func(r *record) bool {
-		return r.remembered(now) && !r.heardWithin(aliveFor, now) && (r.unmet || !r.heardWithin(silentAfter, now))
+// silentTargets returns up to limit random silent nodes and unanswered seeds.
+func (s *Sync) silentTargets(limit int, now boottime.Instant) []target {
+	threshold := silenceThreshold(s.options.Nodes.KnownCount(now) - 1)
+	sampled := targetsOf(s.options.Nodes.sample(limit, s.intN, func(r *record) bool {
+		return r.retained(now) && !r.seenWithin(aliveTimeout, now) && (r.candidate || !r.seenWithin(threshold, now))
 	}))
 	for _, address := range s.options.Nodes.unansweredSeeds(s.options.Self().PeerAddress, now) {
-		drawn = append(drawn, target{address: address})
+		sampled = append(sampled, target{address: address})
 	}
-	s.shuffle(drawn)
-	return drawn[:min(len(drawn), most)]
+	s.shuffle(sampled)
+	return sampled[:min(len(sampled), limit)]
 }
 
-// freshNodes is the number of nodes of which a node hears within aliveFor: some
-// thirty are told in each answer.
-const freshNodes = 64
+// nodesSeenPerTimeout is a low estimate of the number of nodes that a node hears of
+// within aliveTimeout.
+const nodesSeenPerTimeout = 64
 
-// silentAfter is the age of the last sign from which one of so many nodes is looked
-// for. In a fleet of hundreds most have given none for aliveFor, and looking for
-// them would be most of the calls.
-func silentAfter(nodes int) time.Duration {
-	return aliveFor * time.Duration(max(1, nodes/freshNodes))
+// silenceThreshold is how long a node must be silent to be probed. In a fleet of hundreds
+// most nodes exceed aliveTimeout, and probing them all would dominate the calls.
+func silenceThreshold(nodes int) time.Duration {
+	return aliveTimeout * time.Duration(max(1, nodes/nodesSeenPerTimeout))
 }
 
 const (
-	// strayRounds is the number of rounds of which one asks a node besides the hubs,
-	// so that news spread also where the hubs fail.
-	strayRounds = 2
-	// acrossRounds is the number of rounds of which one asks such a node of any
-	// availability zone; bytes between zones are paid for, and the hubs bring the
-	// news of the others.
-	acrossRounds = 8
+	// nonHubRounds is the interval, in rounds, of calls to a random node besides the
+	// hubs, so that state spreads even if the hubs fail.
+	nonHubRounds = 2
+	// crossZoneRounds is the interval, in rounds, at which that node may be in another
+	// zone. Traffic between zones costs money, and the hubs already exchange state across
+	// zones.
+	crossZoneRounds = 8
 )
 
-// stray is the node to ask besides the hubs in the round, if any.
-func (s *Sync) stray(zone string, now boottime.Instant) []target {
+func (s *Sync) nonHubTargets(zone string, now boottime.Instant) []target {
 	round := s.rounds.Add(1)
-	if round%strayRounds != 0 {
+	if round%nonHubRounds != 0 {
 		return nil
 	}
-	across := round%acrossRounds == 0
-	return targetsOf(s.options.Nodes.draw(1, s.intN, func(r *record) bool {
-		return r.heardWithin(aliveFor, now) && (across || r.AvailabilityZone == zone)
+	crossZone := round%crossZoneRounds == 0
+	return targetsOf(s.options.Nodes.sample(1, s.intN, func(r *record) bool {
+		return r.seenWithin(aliveTimeout, now) && (crossZone || r.AvailabilityZone == zone)
 	}))
 }
 
-// withHubs is the nodes to ask in a round of those that are alive: in a fleet with
-// hubs the own hub, for a hub all others, and now and then another node; else some
-// drawn at random.
-func (s *Sync) withHubs(now boottime.Instant) []target {
+// aliveTargets returns the recently seen nodes to call in a round: in a fleet with hubs,
+// the own hub or for a hub all others, plus sometimes a random node; else random nodes.
+func (s *Sync) aliveTargets(now boottime.Instant) []target {
 	self := s.options.Self()
 	hubs := s.hubs(now)
 	own := hubFor(self, hubs)
 	if own.Name == "" {
-		return targetsOf(s.options.Nodes.draw(callsPerRound, s.intN, func(r *record) bool { return r.heardWithin(aliveFor, now) }))
+		return targetsOf(s.options.Nodes.sample(callsPerRound, s.intN, func(r *record) bool { return r.seenWithin(aliveTimeout, now) }))
 	}
-	targets := s.stray(self.AvailabilityZone, now)
+	targets := s.nonHubTargets(self.AvailabilityZone, now)
 	if own.Name != self.Name {
 		return append(targets, targetOf(own))
 	}
@@ -107,7 +103,6 @@
 	s.options.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// intN returns a random number below n.
 func (s *Sync) intN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/nodesync/told.go
+++ b/internal/nodesync/told.go
@@ -3,47 +3,45 @@
 import "galenatrestle/internal/boottime"
 
 const (
-	// maxTold bounds the nodes drawn for one answer: news of each node then still pass
-	// through a fleet of a hundred within the time for which it counts as alive.
-	maxTold = 24
-	// toldWithEntries is the bound where the entries of the asking node's zone are
-	// told besides.
-	toldWithEntries = 12
+	// maxSampledNodes bounds the random nodes in one response. At this bound, state of each
+	// node passes through a fleet of a hundred within aliveTimeout.
+	maxSampledNodes = 24
+	// maxSampledWithEntryNodes is the bound if the response also has the entry nodes of
+	// the caller's zone.
+	maxSampledWithEntryNodes = 12
 )
 
-// told are the nodes of an answer to a node of the availability zone: the hubs, the
-// nodes to which the zone's callers are sent, and some drawn at random. In a fleet of
-// hundreds a node hears of each other one less than once a second; where the hubs and
-// entries were among these, nodes would take each other for hubs in turn, and callers
-// be sent now here, now there.
-func (s *Sync) told(zone string, now boottime.Instant) []Node {
+// nodesForResponse returns the nodes to include in a response: a random sample, and with
+// hubs also the hubs and the zone's entry nodes. A sample alone would refresh hubs and
+// entry nodes too rarely in a fleet of hundreds, so that nodes would disagree on them.
+func (s *Sync) nodesForResponse(zone string, now boottime.Instant) []Node {
 	self := s.options.Self()
-	told := append([]Node(nil), s.hubs(now)...)
-	drawn := maxTold
-	if len(told) > 0 {
-		told = append(told, s.entries(zone, self, now)...)
-		drawn = toldWithEntries
+	required := append([]Node(nil), s.hubs(now)...)
+	limit := maxSampledNodes
+	if len(required) > 0 {
+		required = append(required, s.entryNodes(zone, self, now)...)
+		limit = maxSampledWithEntryNodes
 	}
-	// Of the drawn ones some may be told already: so many more are drawn.
-	others := s.options.Nodes.draw(drawn+len(told), s.intN, func(r *record) bool { return r.alive(now) })
-	return withoutRepeats(self.Name, told, others, drawn)
+	// The sample may overlap with the required nodes, so draw that many more.
+	others := s.options.Nodes.sample(limit+len(required), s.intN, func(r *record) bool { return r.alive(now) })
+	return uniqueNodes(self.Name, required, others, limit)
 }
 
-// withoutRepeats is the told nodes and up to most of the others, each once and
-// without this node.
-func withoutRepeats(self string, told, others []Node, most int) []Node {
+// uniqueNodes returns the required nodes and up to limit of the others, without
+// duplicates and without this node.
+func uniqueNodes(self string, required, others []Node, limit int) []Node {
 	seen := map[string]bool{self: true}
 	var list []Node
-	add := func(nodes []Node, most int) {
+	add := func(nodes []Node, limit int) {
 		for _, n := range nodes {
-			if most > 0 && !seen[n.Name] {
+			if limit > 0 && !seen[n.Name] {
 				seen[n.Name] = true
 				list = append(list, n)
-				most--
+				limit--
 			}
 		}
 	}
-	add(told, len(told))
-	add(others, most)
+	add(required, len(required))
+	add(others, limit)
 	return list
 }
--- a/internal/nodesync/turn_test.go
+++ b/internal/nodesync/turn_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// Nodes that know the same ones read the store in turns: each has a place of its own.
-func TestEachNodeThatReadsForOthersHasATurnOfItsOwn(t *testing.T) {
+func TestStoreReadersHaveDistinctIndexes(t *testing.T) {
 	for name, test := range map[string]struct {
 		nodes, zones, readers int
 	}{
@@ -12,18 +11,18 @@
 		"zones with more than one hub": {80, 2, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			turns := make(map[int]int)
+			indexes := make(map[int]int)
 			for _, node := range fleetOf(test.nodes, test.zones) {
 				if role := node.Role(); role == Peer || role == PrimaryHub {
-					turns[node.StoreReaderIndex()]++
+					indexes[node.StoreReaderIndex()]++
 				}
 			}
-			if len(turns) != test.readers {
-				t.Errorf("turns %v, want %d", turns, test.readers)
+			if len(indexes) != test.readers {
+				t.Errorf("indexes %v, want %d", indexes, test.readers)
 			}
-			for turn := range test.readers {
-				if turns[turn] != 1 {
-					t.Errorf("%d nodes have turn %d", turns[turn], turn)
+			for index := range test.readers {
+				if indexes[index] != 1 {
+					t.Errorf("%d nodes have index %d", indexes[index], index)
 				}
 			}
 		})
--- a/internal/rounds/asks.go
+++ b/internal/rounds/asks.go
@@ -6,57 +6,58 @@
 	"sync"
 )
 
-// OwnerClient sends requests to the nodes that own what this one needs, one at a time to
-// each, and has their answers taken in. It is safe for concurrent use.
-type OwnerClient[Request, Answer any] struct {
-	// Self is this node's name; what it asks of itself is answered by Own at once.
+// OwnerClient sends requests to the nodes that own the resources this node needs. Callers
+// check InFlight to limit themselves to one call per owner. It is safe for concurrent
+// use.
+type OwnerClient[Request, Response any] struct {
+	// Self is this node's name. HandleLocal answers requests to Self synchronously.
 	Self        string
-	HandleLocal func(Request) Answer
-	// Call asks the node at the peer address.
-	Call func(ctx context.Context, address string, request Request) (Answer, error)
-	// HandleResponse is given the answer, or the error in its place.
-	HandleResponse func(owner string, request Request, answer Answer, err error)
+	HandleLocal func(Request) Response
+	// Call sends the request to the node at the peer address.
+	Call func(ctx context.Context, address string, request Request) (Response, error)
+	// HandleResponse receives the response, or the error if the call failed.
+	HandleResponse func(owner string, request Request, response Response, err error)
 
 	calls sync.WaitGroup
 
-	mu   sync.Mutex
-	busy map[string]bool
+	mu       sync.Mutex
+	inFlight map[string]bool
 }
 
-// InFlight is the owners with a call under way.
-func (a *OwnerClient[Request, Answer]) InFlight() map[string]bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return maps.Clone(a.busy)
+// InFlight returns the owners that have a call in flight.
+func (c *OwnerClient[Request, Response]) InFlight() map[string]bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.inFlight)
 }
 
-// Send asks the owner at the peer address, and does not wait for the answer unless
-// the owner is this node. The owner counts as busy until the answer is taken in.
-func (a *OwnerClient[Request, Answer]) Send(ctx context.Context, owner, address string, request Request) {
-	if owner == a.Self {
-		a.HandleResponse(owner, request, a.HandleLocal(request), nil)
+// Send sends a request to the owner at the peer address. It waits for the response only
+// if the owner is this node. The owner counts as in flight until HandleResponse returns.
+func (c *OwnerClient[Request, Response]) Send(ctx context.Context, owner, address string, request Request) {
+	if owner == c.Self {
+		c.HandleResponse(owner, request, c.HandleLocal(request), nil)
 		return
 	}
-	a.setBusy(owner, true)
-	a.calls.Go(func() {
-		defer a.setBusy(owner, false)
-		answer, err := a.Call(ctx, address, request)
-		a.HandleResponse(owner, request, answer, err)
+	c.setInFlight(owner, true)
+	c.calls.Go(func() {
+		defer c.setInFlight(owner, false)
+		response, err := c.Call(ctx, address, request)
+		c.HandleResponse(owner, request, response, err)
 	})
 }
 
-func (a *OwnerClient[Request, Answer]) setBusy(owner string, busy bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !busy {
-		delete(a.busy, owner)
+func (c *OwnerClient[Request, Response]) setInFlight(owner string, inFlight bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !inFlight {
+		delete(c.inFlight, owner)
 		return
 	}
-	if a.busy == nil {
-		a.busy = make(map[string]bool)
+	if c.inFlight == nil {
+		c.inFlight = make(map[string]bool)
 	}
-	a.busy[owner] = true
+	c.inFlight[owner] = true
 }
 
-// Wait returns once no call is under way.
-func (a *OwnerClient[Request, Answer]) Wait() { a.calls.Wait() }
+// Wait blocks until no call is in flight.
+func (c *OwnerClient[Request, Response]) Wait() { c.calls.Wait() }
--- a/internal/rounds/rounds.go
+++ b/internal/rounds/rounds.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Loop is what is run and how often.
+// Loop runs a step and a clean-up periodically.
 type Loop struct {
-	// InitialDelay is the time until the first step, Interval that from one to the
-	// next. A step that takes longer puts the next one off.
+	// InitialDelay is the time until the first step, Interval the time between steps. A
+	// step that takes longer than Interval delays the next one.
 	InitialDelay, Interval time.Duration
-	// SweepInterval is the least time between two clean-ups.
+	// SweepInterval is the minimum time between two clean-ups.
 	SweepInterval time.Duration
-	// Step and Sweep are told the time at which they began.
+	// Step and Sweep receive the start time of the step.
 	Step  func(ctx context.Context, now time.Time)
 	Sweep func(now time.Time)
 }
 
-// Run returns when ctx ends, after the step under way.
+// Run blocks until ctx is done and the current step has returned.
 func (r Loop) Run(ctx context.Context) {
 	timer := time.NewTimer(r.InitialDelay)
 	defer timer.Stop()
-	swept := time.Now()
+	lastSweep := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -29,8 +29,8 @@
 		case now := <-timer.C:
 			timer.Reset(r.Interval)
 			r.Step(ctx, now)
-			if now.Sub(swept) > r.SweepInterval {
-				swept = now
+			if now.Sub(lastSweep) > r.SweepInterval {
+				lastSweep = now
 				r.Sweep(now)
 			}
 		}
--- a/internal/rounds/rounds_test.go
+++ b/internal/rounds/rounds_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestStepsAndSweepsComeAtTheirIntervals(t *testing.T) {
+func TestStepsAndSweepsRunAtTheirIntervals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		var steps, sweeps []time.Duration
