--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -131,7 +131,7 @@
 func (n *Node) newSync(tracker *quarantine.Tracker) *nodesync.Sync {
 	return nodesync.New(nodesync.Options{
 		Self: n.self, Nodes: n.nodes, Routes: n.routes, Replicas: n.replicas, OnReplicaChanges: n.listed,
-		Placer: n.placer, Tracker: tracker, RateLimits: n.rates.limits, IdleRoundInterval: n.idleTicks, SumsMaxAge: nodesync.DefaultSumsMaxAge, Clock: n.options.Clock,
+		Placer: n.placer, Tracker: tracker, RateLimitTable: n.rates.limits, IdleRoundInterval: n.idleTicks, SumsMaxAge: nodesync.DefaultSumsMaxAge, Clock: n.options.Clock,
 		FleetTime: n.duties.clock(), Rand: rand.New(rand.NewPCG(n.options.Seed, 3)), Log: n.log,
 	})
 }
--- a/internal/nodesync/options.go
+++ b/internal/nodesync/options.go
@@ -26,8 +26,8 @@
 	OnReplicaChanges func([]replica.Change)
 	Placer           *placement.Placer
 	Tracker          *quarantine.Tracker
-	// RateLimits has the rate limits that replicas reported.
-	RateLimits *ratelimit.Table
+	// RateLimitTable has the rate limits that replicas reported.
+	RateLimitTable *ratelimit.Table
 	// Clients may be set later by SetClients.
 	Clients *peer.Clients
 	// IdleRoundInterval returns n such that an idle member makes calls only in every
--- a/internal/nodesync/ratelimits.go
+++ b/internal/nodesync/ratelimits.go
@@ -15,7 +15,7 @@
 	limits := slices.DeleteFunc(ratelimit.FromProto(received, callStart), func(l ratelimit.Limit) bool {
 		return !s.options.Replicas.HasProcess(l.Replica, l.StartedAt)
 	})
-	for _, changed := range s.options.RateLimits.Take(limits) {
+	for _, changed := range s.options.RateLimitTable.Take(limits) {
 		s.options.Log.Write(&ratelimit.Changed{Limit: changed, From: from, Age: s.options.Clock().Sub(changed.At)})
 	}
 }
--- a/internal/nodesync/ratelimits_test.go
+++ b/internal/nodesync/ratelimits_test.go
@@ -12,7 +12,7 @@
 // reportRate simulates a response of the replica that reports a rate limit, or none any
 // more.
 func (n *testNode) reportRate(id string, limited bool) {
-	n.options.RateLimits.Answered(ratelimit.Answer{
+	n.options.RateLimitTable.Answered(ratelimit.Answer{
 		Replica: replica.Replica{ID: id}, Limited: limited, PerSecond: 2, Succeeded: true, SentAt: n.now, At: n.now + 1,
 	})
 }
@@ -21,7 +21,7 @@
 func nodesWithLimit(nodes []*testNode) int {
 	known := 0
 	for _, n := range nodes {
-		known += len(n.options.RateLimits.InForce())
+		known += len(n.options.RateLimitTable.InForce())
 	}
 	return known
 }
@@ -62,7 +62,7 @@
 	nodes := largeFleet(2)
 	nodes[1].reportRate("gone", true)
 	nodes[0].exchangeWith(t, nodes[1], 0, 0)
-	if limits := nodes[0].options.RateLimits.InForce(); len(limits) != 0 {
+	if limits := nodes[0].options.RateLimitTable.InForce(); len(limits) != 0 {
 		t.Errorf("limits %v, want none", limits)
 	}
 }
--- a/internal/nodesync/sync.go
+++ b/internal/nodesync/sync.go
@@ -152,7 +152,7 @@
 		WithoutLoads:     loads.omit,
 		AddsUp:           loads.aggregate,
 		Crashes:          recentCrashes(s.options.Tracker.Records(time.Now()), time.Now()),
-		RateLimits:       ratelimit.ToProto(s.options.RateLimits.Told(), now),
+		RateLimits:       ratelimit.ToProto(s.options.RateLimitTable.Told(), now),
 	}
 	if s.fullListingNeeded.Swap(false) {
 		request.ReplicasRevision, request.ReplicasDigest = 0, 0
@@ -202,7 +202,7 @@
 		ReplicasReadAge:  now.Sub(readAt).Microseconds(),
 		ReplicasDigest:   listing.Digest,
 		Crashes:          recentCrashes(s.options.Tracker.Records(time.Now()), time.Now()),
-		RateLimits:       ratelimit.ToProto(s.options.RateLimits.Told(), now),
+		RateLimits:       ratelimit.ToProto(s.options.RateLimitTable.Told(), now),
 	}
 	for _, n := range s.nodesForResponse(m.GetSelf().GetAvailabilityZone(), now) {
 		answer.Nodes = append(answer.Nodes, nodeToProto(n, now))
--- a/internal/nodesync/sync_test.go
+++ b/internal/nodesync/sync_test.go
@@ -50,7 +50,7 @@
 		IdleRoundInterval: func() int { return 1 },
 		Placer:            placement.NewPlacer("", set, random),
 		Tracker:           quarantine.NewTracker(0),
-		RateLimits:        ratelimit.NewTable(func() boottime.Instant { return n.now }),
+		RateLimitTable:    ratelimit.NewTable(func() boottime.Instant { return n.now }),
 		Clock:             func() boottime.Instant { return n.now },
 		Rand:              random,
 		Log:               eventlog.New(io.Discard, name),
