--- a/internal/forward/place_test.go
+++ b/internal/forward/place_test.go
@@ -16,39 +16,38 @@
 	"galenatrestle/internal/route"
 )
 
-// answerWithRate is a whole answer that names a rate.
-func answerWithRate(c *forwardtest.Conn) bool {
+func answerWithRateLimit(c *forwardtest.Conn) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: c1\r\n%s: s1\r\n%s: 1.5\r\nContent-Length: 4\r\n\r\ndone",
 		forwardtest.HeaderID, forwardtest.HeaderStamp, forwardtest.HeaderRateLimit)
 	return err == nil
 }
 
-// askCounter answers asks for permits, and counts them.
-type askCounter struct {
-	given bool
-	err   error
-	asks  int
+// fakeIssuer grants or refuses permits and counts the requests for them.
+type fakeIssuer struct {
+	grants         bool
+	err            error
+	permitRequests int
 }
 
-func (a *askCounter) ask(_ context.Context, l ratelimit.Limit) (ratelimit.Grant, error) {
-	a.asks++
-	return ratelimit.Grant{Given: a.given, RetryAfter: 800 * time.Millisecond}, a.err
+func (f *fakeIssuer) ask(_ context.Context, l ratelimit.Limit) (ratelimit.Grant, error) {
+	f.permitRequests++
+	return ratelimit.Grant{Granted: f.grants, RetryAfter: 800 * time.Millisecond}, f.err
 }
 
-func TestARequestToAReplicaThatNamesARateNeedsAPermit(t *testing.T) {
+func TestRateLimitedReplicaNeedsPermit(t *testing.T) {
 	for name, test := range map[string]struct {
-		issuer askCounter
+		issuer fakeIssuer
 		runs   int
 	}{
-		"given":      {askCounter{given: true}, 4},
-		"refused":    {askCounter{}, 1},
-		"unanswered": {askCounter{err: errors.New("no answer")}, 1},
+		"given":      {fakeIssuer{grants: true}, 4},
+		"refused":    {fakeIssuer{}, 1},
+		"unanswered": {fakeIssuer{err: errors.New("no answer")}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				list := replicas(answerWithRate)
+				list := replicas(answerWithRateLimit)
 				f := forwardtest.NewFleet(t, list...)
-				f.Permits.SetAsk(test.issuer.ask)
+				f.Permits.SetAcquireFunc(test.issuer.ask)
 				serve(t, f, call(route.AtMostOnce, 1))
 				for range 3 {
 					w, ending := serve(t, f, call(route.AtMostOnce, 1))
@@ -57,47 +56,47 @@
 					}
 					after, _ := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 					if ending != forward.EndedRefused || w.Code != http.StatusServiceUnavailable || after <= 0 || after > 1.0/3 {
-						t.Errorf("ending %s, status %d, to return after %g s of the second it has", ending, w.Code, after)
+						t.Errorf("ending %s, status %d, Retry-After %g s with a deadline of 1 s", ending, w.Code, after)
 					}
 				}
 				if got := requests(list); got != test.runs {
-					t.Errorf("the replica got %d requests, want %d", got, test.runs)
+					t.Errorf("replica got %d requests, want %d", got, test.runs)
 				}
-				if test.runs == 1 && test.issuer.asks != 1 {
-					t.Errorf("%d asks within the pause after a refusal", test.issuer.asks)
+				if test.runs == 1 && test.issuer.permitRequests != 1 {
+					t.Errorf("%d permit requests within the retry delay of a refusal, want 1", test.issuer.permitRequests)
 				}
 			})
 		})
 	}
 }
 
-func TestWithoutAPermitAnotherReplicaIsTaken(t *testing.T) {
+func TestOtherReplicaIsChosenWithoutPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list := replicas(answerWithRate, answerOK)
+		list := replicas(answerWithRateLimit, answerOK)
 		f := forwardtest.NewFleet(t, list...)
-		var issuer askCounter
-		f.Permits.SetAsk(issuer.ask)
+		var issuer fakeIssuer
+		f.Permits.SetAcquireFunc(issuer.ask)
 		for range 20 {
 			if _, ending := serve(t, f, call(route.AtMostOnce, 1)); ending != forward.EndedComplete {
 				t.Fatalf("ending %s", ending)
 			}
 		}
 		limited := list[0]
-		if _, is := f.Permits.Limits()[limited.ID]; !is {
+		if _, found := f.Permits.Limits()[limited.ID]; !found {
 			limited = list[1]
 		}
 		if got := len(limited.Requests()); got != 1 {
-			t.Errorf("the replica that names a rate got %d requests", got)
+			t.Errorf("rate-limited replica got %d requests, want 1", got)
 		}
 	})
 }
 
-// An issuer that does not answer must not keep a request for long.
-func TestARequestWaitsForPermitsForAShortTimeOnly(t *testing.T) {
+// Guards against calls that wait for a permit issuer that does not respond.
+func TestPermitWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list := replicas(answerWithRate, answerWithRate, answerWithRate, answerOK)
+		list := replicas(answerWithRateLimit, answerWithRateLimit, answerWithRateLimit, answerOK)
 		f := forwardtest.NewFleet(t, list...)
-		f.Permits.SetAsk(func(ctx context.Context, _ ratelimit.Limit) (ratelimit.Grant, error) {
+		f.Permits.SetAcquireFunc(func(ctx context.Context, _ ratelimit.Limit) (ratelimit.Grant, error) {
 			<-ctx.Done()
 			return ratelimit.Grant{}, ctx.Err()
 		})
@@ -107,7 +106,7 @@
 				t.Fatalf("ending %s", ending)
 			}
 			if took := time.Since(began); took > 150*time.Millisecond {
-				t.Errorf("a request waited for %s", took)
+				t.Errorf("call took %s, want at most 150ms", took)
 			}
 		}
 	})
--- a/internal/nodesync/ratelimits_test.go
+++ b/internal/nodesync/ratelimits_test.go
@@ -12,8 +12,8 @@
 // reportRate simulates a response of the replica that reports a rate limit, or none any
 // more.
 func (n *testNode) reportRate(id string, limited bool) {
-	n.options.RateLimitTable.Answered(ratelimit.Answer{
-		Replica: replica.Replica{ID: id}, Limited: limited, PerSecond: 2, Succeeded: true, SentAt: n.now, At: n.now + 1,
+	n.options.RateLimitTable.Observe(ratelimit.Observation{
+		Replica: replica.Replica{ID: id}, Limited: limited, PerSecond: 2, Succeeded: true, SentAt: n.now, ReceivedAt: n.now + 1,
 	})
 }
 
