--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -77,13 +77,13 @@
 				r.prefixes.Add([]uint64{uint64(i)<<32 | n})
 			}
 		}
-		middle := heapBytes()
+		withPrefixes := heapBytes()
 		for i := range requests {
 			p.Submit(start, benchRequest(strconv.Itoa(i), start))
 		}
 		after := heapBytes()
-		b.ReportMetric((middle-before)/replicas, "bytes/replica")
-		b.ReportMetric((after-middle)/requests, "bytes/waiting")
+		b.ReportMetric((withPrefixes-before)/replicas, "bytes/replica")
+		b.ReportMetric((after-withPrefixes)/requests, "bytes/waiting")
 		runtime.KeepAlive(p)
 	}
 }
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -2,18 +2,19 @@
 
 import "galenatrestle/internal/balancer"
 
-// Choice describes the chosen replica as seen when it was chosen.
+// Choice describes the chosen replica at the time of the choice.
 type Choice struct {
 	// Eligible is the number of replicas with a free slot that suited the request.
 	Eligible int
-	// Running is the number of this node's requests there before this one, bounded by Limit.
+	// Running is the number of requests that this node already ran on the replica; Limit is the
+	// most that it may run there.
 	Running int
 	Limit   int
 	// Slowness is the time between tokens relative to the pool's median.
 	Slowness float64
 	// Cached is the fraction of the prefill expected to be saved by the prefix cache.
 	Cached float64
-	// SameZone refers to the availability zone of this node.
+	// SameZone reports whether the replica is in the availability zone of this node.
 	SameZone bool
 }
 
--- a/internal/router/class_state.go
+++ b/internal/router/class_state.go
@@ -26,11 +26,11 @@
 }
 
 func schedulerClass(class config.Class, disabled Features) scheduler.Class {
-	after := class.MinShareAfter.Std()
+	minShareAfter := class.MinShareAfter.Std()
 	if disabled.MinShare {
-		after = 0
+		minShareAfter = 0
 	}
 	return scheduler.Class{
-		Name: class.Name, Tier: class.Tier, MinShare: class.MinShare, MinShareAfter: after,
+		Name: class.Name, Tier: class.Tier, MinShare: class.MinShare, MinShareAfter: minShareAfter,
 	}
 }
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -31,7 +31,8 @@
 	lengths         *estimate.Lengths
 	speed           estimate.Speed
 	balancer        balancer.Policy
-	// Times between tokens in seconds: the median of the replicas, and that of an idle one.
+	// Medians over the replicas, in seconds: the average time between tokens, and the lowest such
+	// average, which approximates an idle replica.
 	medianTokenTime   float64
 	idleTokenTime     float64
 	slownessUpdatedAt time.Time
@@ -139,7 +140,7 @@
 		return refuse(&request, refusal.TooLate, stepAdmit, "the request's time limit has already passed", 0)
 	}
 	if !p.anyAcceptsNew() {
-		return refuse(&request, refusal.NoReplica, stepAdmit, "no replica takes new requests", 0)
+		return refuse(&request, refusal.NoReplica, stepAdmit, "no replica accepts new requests", 0)
 	}
 	if !p.mayFinishInTime(now, &request, class) {
 		return refuse(&request, refusal.TooLate, stepAdmit, "an answer is expected to take longer than it is of use", 0)
@@ -151,11 +152,12 @@
 	return nil
 }
 
-// mayFinishInTime rejects requests, apart from probes, that are expected to finish too late even if
-// they start at once. It accepts all while no request of the same or a higher tier waits.
+// mayFinishInTime rejects requests that are expected to finish too late even if they start at once,
+// except for a few that are admitted to correct a wrong estimate. It accepts all while no request of
+// the same or a higher tier waits.
 func (p *Pool) mayFinishInTime(now time.Time, request *Request, class *classState) bool {
-	first := p.queue.HighestTier()
-	if p.disabled.Admission || first < 0 || first > class.Tier {
+	highestWaiting := p.queue.HighestTier()
+	if p.disabled.Admission || highestWaiting < 0 || highestWaiting > class.Tier {
 		return true
 	}
 	return class.gate.Admit(p.serviceTime(request, estimate.Median), request.GiveUpAt.Sub(now))
@@ -216,7 +218,8 @@
 	if p.queue.Len() == 0 || !p.anyHasFreeSlot(now) {
 		return next
 	}
-	// The free replicas are stragglers, whose slowness decays with time.
+	// Waiting requests may have left free replicas unused because these are stragglers, whose
+	// slowness decays with time.
 	return earlier(next, now.Add(stragglerRecheckInterval))
 }
 
--- a/internal/router/pool_choose.go
+++ b/internal/router/pool_choose.go
@@ -8,7 +8,7 @@
 	"galenatrestle/internal/estimate"
 )
 
-// choose returns a replica with a free slot that suits the request, or nil.
+// choose returns an eligible replica with a free slot, or nil if there is none.
 func (p *Pool) choose(now time.Time, request *Request) (*replicaState, Choice) {
 	free := p.preferUntriedZones(request, p.eligibleReplicas(now, request))
 	if len(free) == 0 {
@@ -18,11 +18,11 @@
 	for _, r := range free {
 		p.candidateBuffer = append(p.candidateBuffer, p.candidate(now, request, r))
 	}
-	need := balancer.RequestEstimate{
+	requestEstimate := balancer.RequestEstimate{
 		Prefill: p.speed.ServiceTime(request.PromptTokens, 0),
 		Decode:  p.speed.ServiceTime(0, p.answerTokens(request, estimate.Median, defaultAnswerTokens)),
 	}
-	chosen := p.balancer.Choose(need, p.candidateBuffer)
+	chosen := p.balancer.Choose(requestEstimate, p.candidateBuffer)
 	return free[chosen], choiceOf(&p.candidateBuffer[chosen], len(free))
 }
 
@@ -40,9 +40,10 @@
 	return c
 }
 
-// eligibleReplicas lists the free replicas that are fast enough and not to be avoided. It returns
-// none if all such replicas are busy and one of them is healthy, so that the request waits for
-// it. Otherwise it falls back to stragglers, and then to replicas to avoid.
+// eligibleReplicas lists the replicas with a free slot that are fast enough and not in Avoid. If all
+// replicas that are fast enough and not in Avoid are busy and one of them is healthy, it returns none,
+// so that the request waits for that one. Otherwise it falls back to stragglers, and then to replicas
+// in Avoid.
 func (p *Pool) eligibleReplicas(now time.Time, request *Request) []*replicaState {
 	p.freeBuffer = p.freeBuffer[:0]
 	healthyExists := false
@@ -74,26 +75,27 @@
 	return p.freeBuffer
 }
 
-// preferUntriedZones drops replicas in zones where the request has failed, if others are left,
+// preferUntriedZones drops replicas in zones where an earlier attempt failed, if others are left,
 // because the failure may affect the whole zone.
 func (p *Pool) preferUntriedZones(request *Request, free []*replicaState) []*replicaState {
-	failed := func(r *replicaState) bool {
+	zoneFailed := func(r *replicaState) bool {
 		return slices.ContainsFunc(request.Avoid, func(name string) bool {
 			tried, ok := p.replicas[name]
 			return ok && tried.AvailabilityZone == r.AvailabilityZone
 		})
 	}
-	if len(request.Avoid) == 0 || !slices.ContainsFunc(free, func(r *replicaState) bool { return !failed(r) }) {
+	if len(request.Avoid) == 0 || !slices.ContainsFunc(free, func(r *replicaState) bool { return !zoneFailed(r) }) {
 		return free
 	}
-	return slices.DeleteFunc(free, failed)
+	return slices.DeleteFunc(free, zoneFailed)
 }
 
 func (r *Request) avoids(replica *replicaState) bool {
 	return slices.Contains(r.Avoid, replica.Name)
 }
 
-// fastEnough accepts a straggler only below the highest tier and if the target can still be met.
+// fastEnough accepts a straggler only for requests below the highest tier that can still meet their
+// target on it.
 func (p *Pool) fastEnough(now time.Time, request *Request, r *replicaState) bool {
 	if !r.isStraggler() {
 		return true
@@ -101,8 +103,8 @@
 	if request.Tier == p.highestTier {
 		return false
 	}
-	slow := time.Duration(r.slowness * float64(p.serviceTime(request, estimate.P90)))
-	return !request.AnswerBy.IsZero() && now.Add(slow).Before(request.AnswerBy)
+	slowServiceTime := time.Duration(r.slowness * float64(p.serviceTime(request, estimate.P90)))
+	return !request.AnswerBy.IsZero() && now.Add(slowServiceTime).Before(request.AnswerBy)
 }
 
 func (p *Pool) anyHasFreeSlot(now time.Time) bool {
--- a/internal/router/pool_circuit_test.go
+++ b/internal/router/pool_circuit_test.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// A failing replica always has free slots and must not attract the requests.
+// A replica that fails requests at once always has free slots; without the circuit it would receive
+// most requests.
 func TestCrashingReplicaReceivesOnlyProbes(t *testing.T) {
 	pool := testPool(4, "good", "bad")
 	now := time.Unix(100, 0)
 	const requests = 400
-	onBad := 0
+	boundToBad := 0
 	for n := range requests {
 		request := Request{ID: fmt.Sprint(n), Class: "quick", GiveUpAt: now.Add(time.Hour)}
 		if refused := pool.Submit(now, request); refused != nil {
@@ -23,7 +24,7 @@
 			}
 			result := ResultDone
 			if decision.Replica.Name == "bad" {
-				onBad++
+				boundToBad++
 				result = ResultCrashed
 			}
 			pool.Finish(now, decision.ID, result)
@@ -31,8 +32,8 @@
 		now = now.Add(time.Millisecond)
 	}
 	// Waits of 50 to 100 ms that double allow few probes in 400 ms.
-	if onBad == 0 || onBad > 8 {
-		t.Errorf("%d of %d requests were bound to the failing replica, want 1 to 8", onBad, requests)
+	if boundToBad == 0 || boundToBad > 8 {
+		t.Errorf("%d of %d requests were bound to the failing replica, want 1 to 8", boundToBad, requests)
 	}
 }
 
--- a/internal/router/pool_item.go
+++ b/internal/router/pool_item.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	// maxEstimateShare bounds an estimate to this fraction of the time limit, so that a wrong
-	// one never refuses a request early.
+	// maxEstimateShare bounds an estimated service time to this fraction of the time from arrival to
+	// the deadline, so that a wrong estimate never refuses a request in the first half of its time.
 	maxEstimateShare = 0.5
 	// defaultAnswerTokens is the estimate for answers of unknown length.
 	defaultAnswerTokens = 256
-	// arrivalOrderOffset makes the latest start follow the order of arrival.
+	// arrivalOrderOffset is added to the arrival time to get the latest start if SlackOrder is
+	// disabled, so that the queue is ordered by arrival.
 	arrivalOrderOffset = 24 * time.Hour
 )
 
@@ -31,11 +32,12 @@
 	return i
 }
 
-// answerTokens estimates the answer length in tokens; unknown is returned without an estimate.
-func (p *Pool) answerTokens(request *Request, quantile int, unknown float64) float64 {
+// answerTokens estimates the answer length in tokens, from fallback if no length is known, and at
+// most MaxTokens.
+func (p *Pool) answerTokens(request *Request, quantile int, fallback float64) float64 {
 	tokens, ok := p.lengths.Quantile(request.Class, request.Workspace, quantile)
 	if !ok {
-		tokens = unknown
+		tokens = fallback
 	}
 	if request.MaxTokens > 0 {
 		tokens = min(tokens, float64(request.MaxTokens))
@@ -60,9 +62,9 @@
 		return latest
 	}
 	prefill := p.speed.ServiceTime(request.PromptTokens, 0)
-	first := latestStartFor(request.Arrived, request.FirstTokenBy, prefill)
-	if first.Before(latest) {
-		return first
+	latestForFirstToken := latestStartFor(request.Arrived, request.FirstTokenBy, prefill)
+	if latestForFirstToken.Before(latest) {
+		return latestForFirstToken
 	}
 	return latest
 }
@@ -75,7 +77,8 @@
 	return latestStartFor(request.Arrived, request.GiveUpAt, p.serviceTime(request, estimate.P90))
 }
 
-func latestStartFor(arrived, deadline time.Time, service time.Duration) time.Time {
-	bound := time.Duration(maxEstimateShare * float64(deadline.Sub(arrived)))
-	return deadline.Add(-min(service, bound))
+// latestStartFor returns the latest start for a service time to end by the deadline.
+func latestStartFor(arrived, deadline time.Time, serviceTime time.Duration) time.Time {
+	maxServiceTime := time.Duration(maxEstimateShare * float64(deadline.Sub(arrived)))
+	return deadline.Add(-min(serviceTime, maxServiceTime))
 }
--- a/internal/router/pool_model_test.go
+++ b/internal/router/pool_model_test.go
@@ -7,12 +7,12 @@
 )
 
 func (m *model) submit(r Request) {
-	lowest := m.lowestWaiting()
+	lowest := m.lowestWaitingTier()
 	if refused := m.pool.Submit(m.now, r); refused != nil {
-		if refused.Reason == refusal.QueueFull && len(m.waiting) >= 14 && lowest > r.Tier && m.classWaiting(r.Class) < 6 {
-			m.t.Fatalf("%s of tier %d refused while tier %d waits", r.ID, r.Tier, lowest)
+		if refused.Reason == refusal.QueueFull && len(m.waiting) >= 14 && lowest > r.Tier && m.waitingInClass(r.Class) < 6 {
+			m.t.Fatalf("request %s of tier %d refused while a request of tier %d waits", r.ID, r.Tier, lowest)
 		}
-		m.end(r.ID, "refused")
+		m.recordEnd(r.ID, "refused")
 		return
 	}
 	m.waiting[r.ID] = r
@@ -23,10 +23,10 @@
 			m.t.Fatalf("tier %d shed for tier %d while tier %d waited", victim.Tier, r.Tier, lowest)
 		}
 	}
-	m.next()
+	m.decide()
 }
 
-func (m *model) lowestWaiting() int {
+func (m *model) lowestWaitingTier() int {
 	lowest := -1
 	for _, r := range m.waiting {
 		lowest = max(lowest, r.Tier)
@@ -34,7 +34,7 @@
 	return lowest
 }
 
-func (m *model) classWaiting(class string) int {
+func (m *model) waitingInClass(class string) int {
 	n := 0
 	for _, r := range m.waiting {
 		if r.Class == class {
@@ -44,14 +44,14 @@
 	return n
 }
 
-func (m *model) end(id, how string) {
+func (m *model) recordEnd(id, ending string) {
 	if before, ok := m.ended[id]; ok {
-		m.t.Fatalf("%s ended as %s and again as %s", id, before, how)
+		m.t.Fatalf("request %s ended as %s and again as %s", id, before, ending)
 	}
-	m.ended[id] = how
+	m.ended[id] = ending
 }
 
-func (m *model) next() {
+func (m *model) decide() {
 	for _, decision := range m.pool.Decide(m.now) {
 		r, ok := m.waiting[decision.ID]
 		if !ok {
@@ -60,11 +60,11 @@
 		delete(m.waiting, decision.ID)
 		if decision.Refused != nil {
 			m.checkRefusal(r, decision.Refused)
-			m.end(decision.ID, "refused")
+			m.recordEnd(decision.ID, "refused")
 			continue
 		}
 		if m.leaving[decision.Replica.Name] {
-			m.t.Fatalf("%s bound to leaving %s", decision.ID, decision.Replica.Name)
+			m.t.Fatalf("request %s bound to leaving replica %s", decision.ID, decision.Replica.Name)
 		}
 		m.running[decision.ID] = decision.Replica.Name
 	}
@@ -89,23 +89,23 @@
 
 func (m *model) checkCounts() {
 	perReplica := make(map[string]int)
-	shared := make(map[string]int)
+	minShareRunning := make(map[string]int)
 	for id, name := range m.running {
 		perReplica[name]++
 		if m.pool.running[id].item.ByMinShare() {
-			shared[m.requests[id].Class]++
+			minShareRunning[m.requests[id].Class]++
 		}
 	}
 	stats := m.pool.Stats(m.now)
 	for _, r := range stats.Replicas {
 		if r.Running != perReplica[r.Name] {
-			m.t.Fatalf("%s runs %d, want %d", r.Name, r.Running, perReplica[r.Name])
+			m.t.Fatalf("replica %s runs %d requests, want %d", r.Name, r.Running, perReplica[r.Name])
 		}
 	}
 	if len(m.pool.waiting) != len(m.waiting) || m.pool.queue.Len() != len(m.waiting) || len(m.pool.running) != len(m.running) {
 		m.t.Fatalf("pool has %d waiting, %d running; want %d, %d", len(m.pool.waiting), len(m.pool.running), len(m.waiting), len(m.running))
 	}
-	for class, n := range shared {
+	for class, n := range minShareRunning {
 		if totalSlots := 20; n > max(1, totalSlots*3/10) {
 			m.t.Fatalf("class %s uses %d slots by its minimum share", class, n)
 		}
@@ -120,7 +120,7 @@
 			m.t.Fatalf("%s waits past its time", r.ID)
 		}
 		if len(r.Avoid) == 0 && m.anyFreeNonStraggler() {
-			m.t.Fatalf("%s waits while a replica is free", r.ID)
+			m.t.Fatalf("request %s waits while a replica is free", r.ID)
 		}
 	}
 	if len(m.waiting) > 0 && m.pool.Deadline(m.now).IsZero() {
--- a/internal/router/pool_next.go
+++ b/internal/router/pool_next.go
@@ -26,7 +26,7 @@
 
 func (p *Pool) refuseExpired(now time.Time, i *item) Decision {
 	if i.Value.request.GiveUpAt.After(now) {
-		return p.refuseWaiting(i, refusal.TooLate, "the answer would come too late to be of use")
+		return p.refuseWaiting(i, refusal.TooLate, "the answer is expected after the request's time limit")
 	}
 	return p.refuseWaiting(i, refusal.GaveUpWaiting, "no replica had a free slot in time")
 }
@@ -43,8 +43,8 @@
 // maxSkipped bounds the requests skipped by one call of Decide.
 const maxSkipped = 16
 
-// bindAll binds requests to free replicas. A request that none of them suits is skipped and keeps
-// its place in the queue.
+// bindAll binds requests to free replicas. A request without an eligible free replica is skipped and
+// keeps its place in the queue.
 func (p *Pool) bindAll(now time.Time, decisions []Decision) []Decision {
 	var skipped []*item
 	slots := p.totalSlots()
@@ -93,10 +93,10 @@
 	replica.running++
 	replica.circuit.RecordDispatch()
 	replica.learnedLimit.RecordUsage(replica.running, p.highestTierWaits())
-	cached := replica.prefixes.Match(i.Value.request.PrefixHashes)
+	cachedFraction := replica.prefixes.Match(i.Value.request.PrefixHashes)
 	replica.prefixes.Add(i.Value.request.PrefixHashes)
 	id := i.Value.request.ID
-	p.running[id] = &runningRequest{item: i, replica: replica, boundAt: now, cached: cached}
+	p.running[id] = &runningRequest{item: i, replica: replica, boundAt: now, cachedFraction: cachedFraction}
 	chosen := replica.Replica
 	return Decision{ID: id, Replica: &chosen, Choice: choice}
 }
--- a/internal/router/pool_pace.go
+++ b/internal/router/pool_pace.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	slownessInterval = 50 * time.Millisecond
-	// firstTokenSlackFactor times the longest prefill is the silence that does not count as
-	// slowness.
-	firstTokenSlackFactor = 2
+	slownessUpdateInterval = 50 * time.Millisecond
+	// prefillAllowanceFactor times the longest prefill is how long a replica may send no token
+	// before it counts as slow.
+	prefillAllowanceFactor = 2
 )
 
 func (p *Pool) updateSlowness(now time.Time) {
-	if now.Sub(p.slownessUpdatedAt) < slownessInterval {
+	if now.Sub(p.slownessUpdatedAt) < slownessUpdateInterval {
 		return
 	}
 	p.slownessUpdatedAt = now
@@ -29,8 +29,8 @@
 	p.limitStragglers(now)
 }
 
-// limitStragglers shrinks the limits of stragglers. They count as normal while no faster replica
-// is healthy.
+// limitStragglers shrinks the limits of stragglers. If no other replica is healthy, it resets their
+// slowness to normal instead.
 func (p *Pool) limitStragglers(now time.Time) {
 	healthyExists := slices.ContainsFunc(p.orderedReplicas, func(r *replicaState) bool {
 		return r.healthy(now) && !r.isStraggler()
@@ -50,9 +50,10 @@
 	return p.queue.HighestTier() == p.highestTier
 }
 
-// allowedSilence covers the prefill of a long prompt, during which no token arrives.
+// allowedSilence is how long a replica may send no token before it counts as slow: enough for the
+// prefill of a long prompt.
 func (p *Pool) allowedSilence() time.Duration {
-	return firstTokenSlackFactor * p.longestPrefill
+	return prefillAllowanceFactor * p.longestPrefill
 }
 
 // median returns the lower median of the positive values of replicas that accept new requests.
--- a/internal/router/pool_progress.go
+++ b/internal/router/pool_progress.go
@@ -26,20 +26,20 @@
 }
 
 // learnPrefill updates the prefill speed and the cache saving from the time to the first token.
-func (p *Pool) learnPrefill(request *Request, r *runningRequest, took time.Duration) {
+func (p *Pool) learnPrefill(request *Request, r *runningRequest, timeToFirstToken time.Duration) {
 	if r.replica.isStraggler() {
 		return
 	}
-	if r.cached == 0 {
-		p.speed.ObservePrefill(request.PromptTokens, took)
-		p.longestPrefill = max(p.longestPrefill-p.longestPrefill/longestPrefillDecay, took)
+	if r.cachedFraction == 0 {
+		p.speed.ObservePrefill(request.PromptTokens, timeToFirstToken)
+		p.longestPrefill = max(p.longestPrefill-p.longestPrefill/longestPrefillDecay, timeToFirstToken)
 		return
 	}
-	uncached := p.speed.ServiceTime(request.PromptTokens, 0)
-	if uncached <= 0 {
+	uncachedPrefill := p.speed.ServiceTime(request.PromptTokens, 0)
+	if uncachedPrefill <= 0 {
 		return
 	}
-	saving := min(max(1-took.Seconds()/uncached.Seconds(), 0), 1) / r.cached
+	saving := min(max(1-timeToFirstToken.Seconds()/uncachedPrefill.Seconds(), 0), 1) / r.cachedFraction
 	if saving < minCacheSaving {
 		r.replica.prefixes.Drop(request.PrefixHashes)
 	}
@@ -80,7 +80,7 @@
 	p.changedAt = now
 }
 
-// observeLength ignores failed attempts, which say nothing about the answer length.
+// observeLength ignores failed attempts, whose token counts would bias the estimates.
 func (p *Pool) observeLength(now time.Time, r *runningRequest, result Result) {
 	if result != ResultDone && result != ResultCancelled {
 		return
--- a/internal/router/pool_property_test.go
+++ b/internal/router/pool_property_test.go
@@ -12,7 +12,8 @@
 	"galenatrestle/internal/config"
 )
 
-// model makes arbitrary calls to a pool and tracks the expected state.
+// model makes arbitrary calls to a pool, tracks which requests should wait or run, and compares the
+// pool with that after each call.
 type model struct {
 	t            *rapid.T
 	pool         *Pool
@@ -73,14 +74,14 @@
 }
 
 func (m *model) finish(t *rapid.T) {
-	id := m.draw(t, m.running)
+	id := m.drawID(t, m.running)
 	if id == "" {
 		return
 	}
 	m.pool.RecordFirstToken(m.now, id)
 	m.pool.RecordTokens(m.now, id, rapid.IntRange(1, 3000).Draw(t, "tokens"))
 	m.finishAs(id, Result(rapid.IntRange(0, 4).Draw(t, "result")))
-	m.next()
+	m.decide()
 }
 
 // finishAs retries an attempt that did not run or crashed.
@@ -95,10 +96,10 @@
 		m.submit(r)
 		return
 	}
-	m.end(id, "finished")
+	m.recordEnd(id, "finished")
 }
 
-func (m *model) draw(t *rapid.T, from map[string]string) string {
+func (m *model) drawID(t *rapid.T, from map[string]string) string {
 	if len(from) == 0 {
 		return ""
 	}
@@ -122,7 +123,7 @@
 	for _, id := range affected {
 		m.finishAs(id, ResultCrashed)
 	}
-	m.next()
+	m.decide()
 }
 
 func (m *model) cancel(t *rapid.T) {
@@ -130,11 +131,11 @@
 	for id := range m.waiting {
 		ids[id] = ""
 	}
-	if id := m.draw(t, ids); id != "" {
+	if id := m.drawID(t, ids); id != "" {
 		m.pool.Cancel(m.now, id)
 		delete(m.waiting, id)
-		m.end(id, "cancelled")
-		m.next()
+		m.recordEnd(id, "cancelled")
+		m.decide()
 	}
 }
 
@@ -142,18 +143,18 @@
 	name := rapid.SampledFrom(m.replicaNames).Draw(t, "replica")
 	m.leaving[name] = !m.leaving[name]
 	m.pool.SetLeaving(m.now, name, m.leaving[name])
-	m.next()
+	m.decide()
 }
 
 func (m *model) setAllowance(t *rapid.T) {
 	name := rapid.SampledFrom(m.replicaNames).Draw(t, "replica")
 	m.pool.SetAllowance(name, rapid.IntRange(-1, 3).Draw(t, "slots"))
-	m.next()
+	m.decide()
 }
 
 func (m *model) advanceTime(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 20000).Draw(t, "ms")) * time.Millisecond)
-	m.next()
+	m.decide()
 }
 
 func (m *model) drain() {
@@ -162,7 +163,7 @@
 			m.finishAs(id, ResultDone)
 		}
 		m.now = m.now.Add(time.Minute)
-		m.next()
+		m.decide()
 	}
 	for id := range m.requests {
 		if _, ok := m.ended[id]; !ok {
@@ -171,7 +172,7 @@
 	}
 }
 
-// Under arbitrary calls, each request must end exactly once and the counts must be right.
+// Under arbitrary calls, each request must end exactly once and the pool's counts must match the model.
 func TestPoolInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
--- a/internal/router/pool_replicas.go
+++ b/internal/router/pool_replicas.go
@@ -21,17 +21,17 @@
 }
 
 func (p *Pool) setReplica(replica Replica) {
-	fresh := newReplicaState(replica, p.rand.Float64())
-	known, ok := p.replicas[replica.Name]
+	created := newReplicaState(replica, p.rand.Float64())
+	existing, ok := p.replicas[replica.Name]
 	if ok {
-		if known.Slots != fresh.Slots {
-			known.learnedLimit = fresh.learnedLimit
+		if existing.Slots != created.Slots {
+			existing.learnedLimit = created.learnedLimit
 		}
-		known.Replica = fresh.Replica
+		existing.Replica = created.Replica
 		return
 	}
-	p.replicas[replica.Name] = fresh
-	p.orderedReplicas = append(p.orderedReplicas, fresh)
+	p.replicas[replica.Name] = created
+	p.orderedReplicas = append(p.orderedReplicas, created)
 }
 
 func (p *Pool) deleteRemovedReplicas() {
--- a/internal/router/pool_share_test.go
+++ b/internal/router/pool_share_test.go
@@ -11,7 +11,8 @@
 	"galenatrestle/internal/refusal"
 )
 
-// saturatingClasses have queues that outlast all slots coming free at once.
+// saturatingClasses have queue bounds above the highest number of slots in the test, so that no queue
+// becomes empty even if all slots become free at once.
 func saturatingClasses() []config.Class {
 	classes := propertyClasses()
 	for i := range classes {
@@ -21,23 +22,23 @@
 }
 
 // saturate keeps all queues full and returns the slot time used by each class.
-func saturate(t *rapid.T, slots int, service map[string]time.Duration, span time.Duration) map[string]time.Duration {
+func saturate(t *rapid.T, slots int, serviceTime map[string]time.Duration, span time.Duration) map[string]time.Duration {
 	p := NewPool(Options{Classes: saturatingClasses(), Replicas: []Replica{{Name: "a", Slots: slots}}})
-	ends := make(map[string]time.Time)
+	endTimes := make(map[string]time.Time)
 	classOf := make(map[string]string)
 	slotTime := make(map[string]time.Duration)
-	serial := 0
+	lastID := 0
 	for now := start; now.Before(start.Add(span)); now = now.Add(250 * time.Millisecond) {
-		for id, end := range ends {
+		for id, end := range endTimes {
 			if !end.After(now) {
 				p.Finish(now, id, ResultDone)
-				delete(ends, id)
+				delete(endTimes, id)
 			}
 		}
 		for _, class := range saturatingClasses() {
 			for p.classes[class.Name].waiting < class.QueueBound {
-				serial++
-				id := strconv.Itoa(serial)
+				lastID++
+				id := strconv.Itoa(lastID)
 				classOf[id] = class.Name
 				if refused := p.Submit(now, Request{
 					ID: id, Class: class.Name, Workspace: "w", Arrived: now, Attempt: 1,
@@ -54,8 +55,8 @@
 			class := classOf[decision.ID]
 			delete(classOf, decision.ID)
 			if decision.Replica != nil {
-				ends[decision.ID] = now.Add(service[class])
-				slotTime[class] += service[class]
+				endTimes[decision.ID] = now.Add(serviceTime[class])
+				slotTime[class] += serviceTime[class]
 			}
 		}
 	}
@@ -66,14 +67,14 @@
 func TestEveryClassIsServedWithinItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 12).Draw(t, "slots")
-		service := make(map[string]time.Duration)
+		serviceTime := make(map[string]time.Duration)
 		for _, class := range propertyClasses() {
-			service[class.Name] = time.Duration(rapid.IntRange(1, 8).Draw(t, class.Name)) * time.Second
+			serviceTime[class.Name] = time.Duration(rapid.IntRange(1, 8).Draw(t, class.Name)) * time.Second
 		}
 		const span = 12 * time.Minute
-		slotTime := saturate(t, slots, service, span)
+		slotTime := saturate(t, slots, serviceTime, span)
 		total := span.Seconds() * float64(slots)
-		lower := 0.0
+		lowerTiersSeconds := 0.0
 		for _, class := range propertyClasses() {
 			if slotTime[class.Name] == 0 {
 				t.Fatalf("class %s was never served: %v", class.Name, slotTime)
@@ -81,14 +82,14 @@
 			if class.Tier == 0 {
 				continue
 			}
-			lower += slotTime[class.Name].Seconds()
-			most := max(class.MinShare, 0.01)*total + 2*service[class.Name].Seconds()
-			if got := slotTime[class.Name].Seconds(); got > most {
-				t.Errorf("class %s used %.0f slot seconds of %.0f, want at most %.0f", class.Name, got, total, most)
+			lowerTiersSeconds += slotTime[class.Name].Seconds()
+			maxSeconds := max(class.MinShare, 0.01)*total + 2*serviceTime[class.Name].Seconds()
+			if got := slotTime[class.Name].Seconds(); got > maxSeconds {
+				t.Errorf("class %s used %.0f slot seconds of %.0f, want at most %.0f", class.Name, got, total, maxSeconds)
 			}
 		}
-		if top := slotTime["t0"].Seconds(); top < 0.9*(total-lower) {
-			t.Errorf("tier 0 used %.0f of %.0f slot seconds left by lower tiers, want at least 90%%", top, total-lower)
+		if top := slotTime["t0"].Seconds(); top < 0.9*(total-lowerTiersSeconds) {
+			t.Errorf("tier 0 used %.0f of %.0f slot seconds left by lower tiers, want at least 90%%", top, total-lowerTiersSeconds)
 		}
 	})
 }
--- a/internal/router/pool_straggler_test.go
+++ b/internal/router/pool_straggler_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// makeStraggler makes replica a a straggler compared with b and returns the time.
+// makeStraggler sends tokens from replica a ten times slower than from b, so that a becomes a
+// straggler, and returns the time at the end.
 func makeStraggler(t *testing.T, p *Pool) time.Time {
 	t.Helper()
 	now := start
@@ -86,7 +87,7 @@
 	if refused := p.Submit(now, r); refused != nil {
 		t.Fatal(refused)
 	}
-	now = now.Add(2 * slownessInterval)
+	now = now.Add(2 * slownessUpdateInterval)
 	decisions := p.Decide(now)
 	if len(decisions) != 1 || decisions[0].Replica == nil || decisions[0].Replica.Name != "a" {
 		t.Fatalf("Decide = %+v, want a binding to a at once", decisions)
--- a/internal/router/replica_state.go
+++ b/internal/router/replica_state.go
@@ -29,17 +29,19 @@
 	slowness float64
 }
 
-// newReplicaState takes an offset that varies the rounding of limits between nodes.
-func newReplicaState(r Replica, offset float64) *replicaState {
+// newReplicaState returns the state of a new replica. A roundingOffset that differs between nodes
+// keeps them from all rounding the replica's limit down.
+func newReplicaState(r Replica, roundingOffset float64) *replicaState {
 	if r.Slots <= 0 {
 		r.Slots = defaultSlots
 	}
 	return &replicaState{
-		Replica: r, allowance: -1, learnedLimit: concurrency.NewLimit(r.Slots, offset), slowness: 1,
+		Replica: r, allowance: -1, learnedLimit: concurrency.NewLimit(r.Slots, roundingOffset), slowness: 1,
 	}
 }
 
-// acceptsNew ignores the load and the circuit.
+// acceptsNew reports whether the replica is neither leaving nor removed, regardless of its load and
+// circuit.
 func (r *replicaState) acceptsNew() bool {
 	return !r.Leaving && !r.announcedLeaving && !r.removed
 }
@@ -60,7 +62,8 @@
 	return r.acceptsNew() && r.running < r.limit() && r.circuit.Allows(now)
 }
 
-// healthy requires a closed circuit, regardless of the load.
+// healthy reports whether the replica accepts new requests and its circuit is closed, regardless of
+// its load.
 func (r *replicaState) healthy(now time.Time) bool {
 	return r.acceptsNew() && r.circuit.Allows(now) && r.circuit.NextProbeAt().IsZero()
 }
@@ -69,13 +72,13 @@
 
 func (r *replicaState) removable() bool { return r.removed && r.running == 0 }
 
-func (r *replicaState) recordTokens(now time.Time, n int, took time.Duration, idleTokenTime float64, adaptLimit bool) {
-	seconds := took.Seconds() / float64(n)
-	r.pace.Observe(now, seconds)
+func (r *replicaState) recordTokens(now time.Time, n int, elapsed time.Duration, idleTokenTime float64, adaptLimit bool) {
+	secondsPerToken := elapsed.Seconds() / float64(n)
+	r.pace.Observe(now, secondsPerToken)
 	if !adaptLimit {
 		return
 	}
-	if average := r.learnedLimit.Observe(now, seconds, idleTokenTime); average > 0 {
+	if average := r.learnedLimit.Observe(now, secondsPerToken, idleTokenTime); average > 0 {
 		r.tokenTimeFloor.Observe(now, average)
 	}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -7,9 +7,9 @@
 	ID        string
 	Workspace string
 	Class     string
-	// Tier is the tier of the class; 0 is the highest.
+	// Tier is set by Submit to the tier of the class; 0 is the highest.
 	Tier int
-	// Model is the requested model or adapter.
+	// Model may name an adapter.
 	Model   string
 	Arrived time.Time
 	// FirstTokenBy and AnswerBy are the deadlines of the class's targets; zero if there is none.
--- a/internal/router/result.go
+++ b/internal/router/result.go
@@ -10,7 +10,7 @@
 	ResultNotRun
 	// ResultFailed is an attempt that failed after it was sent.
 	ResultFailed
-	// ResultCancelled is an attempt cancelled by this side.
+	// ResultCancelled is an attempt that this node cancelled.
 	ResultCancelled
 	// ResultCrashed is an attempt whose connection the replica broke.
 	ResultCrashed
--- a/internal/router/routertest/clairvoyant.go
+++ b/internal/router/routertest/clairvoyant.go
@@ -27,17 +27,17 @@
 }
 
 func jobServiceTime(j *job) time.Duration {
-	return time.Duration(profiles[j.class].serviceTime(float64(j.answerTokens)) * float64(time.Second))
+	return time.Duration(profiles[j.classIndex].serviceTime(float64(j.answerTokens)) * float64(time.Second))
 }
 
 // Submit implements decider. It keeps each tier ordered by slack.
 func (c *clairvoyant) Submit(_ time.Time, request router.Request) *refusal.Error {
 	j := c.jobs[request.ID]
 	latestStart := j.request.AnswerBy.Add(-jobServiceTime(j))
-	i, _ := slices.BinarySearchFunc(c.tiers[j.class], latestStart, func(other *job, t time.Time) int {
+	i, _ := slices.BinarySearchFunc(c.tiers[j.classIndex], latestStart, func(other *job, t time.Time) int {
 		return cmp.Compare(other.request.AnswerBy.Add(-jobServiceTime(other)).UnixNano(), t.UnixNano())
 	})
-	c.tiers[j.class] = slices.Insert(c.tiers[j.class], i, j)
+	c.tiers[j.classIndex] = slices.Insert(c.tiers[j.classIndex], i, j)
 	return nil
 }
 
@@ -69,22 +69,22 @@
 
 // popNext prefers the first job that can meet its target.
 func (c *clairvoyant) popNext(now time.Time, tier int) *job {
-	list := c.tiers[tier]
-	i := slices.IndexFunc(list, func(j *job) bool {
+	queue := c.tiers[tier]
+	i := slices.IndexFunc(queue, func(j *job) bool {
 		return !now.Add(jobServiceTime(j)).After(j.request.AnswerBy)
 	})
 	i = max(i, 0)
-	j := list[i]
-	c.tiers[tier] = slices.Delete(list, i, i+1)
+	j := queue[i]
+	c.tiers[tier] = slices.Delete(queue, i, i+1)
 	return j
 }
 
 // freeSlots lists a replica name for each free slot, least loaded first, without stragglers.
 func (c *clairvoyant) freeSlots() []string {
 	var names []string
-	for level := range Knee {
+	for batchSize := range Knee {
 		for _, e := range c.run.orderedEngines {
-			if e.slowdown == 1 && len(e.running) <= level {
+			if e.slowdown == 1 && len(e.running) <= batchSize {
 				names = append(names, e.name)
 			}
 		}
--- a/internal/router/routertest/compare_test.go
+++ b/internal/router/routertest/compare_test.go
@@ -34,7 +34,7 @@
 	return s
 }
 
-// Each policy enables one more feature than the one before.
+// Each policy enables more features than the one before.
 var (
 	baseline           = policy{"baseline", router.Baseline}
 	slack              = policy{"slack", router.Features{MinShare: true, LengthEstimates: true, Admission: true, FairShare: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
--- a/internal/router/routertest/engine.go
+++ b/internal/router/routertest/engine.go
@@ -12,11 +12,11 @@
 	Knee = 16
 	// tokenTime is the time between tokens at batch size Knee.
 	tokenTime = 25 * time.Millisecond
-	// idleFraction of tokenTime is the time between tokens of an idle engine.
-	idleFraction = 0.8
+	// idleTokenTimeFraction is the time between tokens of an idle engine as a fraction of tokenTime.
+	idleTokenTimeFraction = 0.8
 	// prefillRate is in prompt tokens per second.
-	prefillRate    = 4000
-	cachedPrefixes = 40
+	prefillRate       = 4000
+	maxCachedPrefixes = 40
 	// cachedPrefixSaving is the fraction of the prefill saved by a cached prefix.
 	cachedPrefixSaving = 0.5
 )
@@ -30,11 +30,11 @@
 	prefixes []uint64
 }
 
-// tokenInterval is in seconds, for the current batch size.
+// tokenInterval returns the time between tokens in seconds at the current batch size.
 func (e *engine) tokenInterval() float64 {
 	batch := float64(len(e.running)) / Knee
-	part := max(batch, idleFraction+(1-idleFraction)*batch)
-	return part * tokenTime.Seconds() * e.slowdown
+	relativeTime := max(batch, idleTokenTimeFraction+(1-idleTokenTimeFraction)*batch)
+	return relativeTime * tokenTime.Seconds() * e.slowdown
 }
 
 func (e *engine) start(j *job) {
@@ -46,7 +46,7 @@
 		e.prefixes = slices.Delete(e.prefixes, i, i+1)
 	}
 	e.prefixes = append(e.prefixes, prefix)
-	if len(e.prefixes) > cachedPrefixes {
+	if len(e.prefixes) > maxCachedPrefixes {
 		e.prefixes = slices.Delete(e.prefixes, 0, 1)
 	}
 	e.running = append(e.running, j)
--- a/internal/router/routertest/outcome.go
+++ b/internal/router/routertest/outcome.go
@@ -9,13 +9,14 @@
 // Outcome is the result of a run.
 type Outcome struct {
 	Classes []ClassOutcome
-	// GoodTokens are those of answers completed in time; WastedTokens are all others.
+	// GoodTokens are those of completed answers; WastedTokens are those of requests that timed out
+	// while they ran.
 	GoodTokens   int
 	WastedTokens int
 	// GoodTokensDuringArrivals excludes answers completed after Scenario.Duration.
 	GoodTokensDuringArrivals int
+	Refused                  int
 	// RefusedWait sums the waiting times of refused requests, as fractions of their time limits.
-	Refused     int
 	RefusedWait float64
 	// Capacity is the tokens that the replicas can generate during Scenario.Duration.
 	Capacity float64
@@ -26,6 +27,7 @@
 	Name     string
 	Offered  int
 	Answered int
+	// OnTarget counts the requests answered by their AnswerBy.
 	OnTarget int
 	// TimedOut requests were running when their caller gave up.
 	TimedOut int
@@ -56,7 +58,7 @@
 	return float64(o.GoodTokensDuringArrivals) / o.Capacity
 }
 
-// WastedFraction is WastedTokens as a fraction of all generated tokens.
+// WastedFraction is WastedTokens as a fraction of GoodTokens and WastedTokens together.
 func (o *Outcome) WastedFraction() float64 {
 	return float64(o.WastedTokens) / float64(max(o.WastedTokens+o.GoodTokens, 1))
 }
--- a/internal/router/routertest/run.go
+++ b/internal/router/routertest/run.go
@@ -10,9 +10,11 @@
 )
 
 const (
-	tick            = 10 * time.Millisecond
-	reportInterval  = time.Second
-	reportDelay     = time.Second
+	tick           = 10 * time.Millisecond
+	reportInterval = time.Second
+	// reportDelay is the age of a load report when the pools receive it.
+	reportDelay = time.Second
+	// stragglerFactor is the slowdown of a straggler.
 	stragglerFactor = 10
 )
 
@@ -25,7 +27,8 @@
 	pending        []*job
 	reports        []delayedReport
 	outcome        Outcome
-	advanced       []*job
+	// advanced is a buffer of the jobs with new tokens.
+	advanced []*job
 }
 
 type delayedReport struct {
@@ -77,7 +80,7 @@
 	r.cancelTimedOut(now)
 	r.submit(now)
 	for _, d := range r.deciders {
-		r.apply(now, d.Decide(now))
+		r.applyDecisions(now, d.Decide(now))
 	}
 }
 
@@ -107,7 +110,7 @@
 }
 
 func (r *run) decider(j *job) decider {
-	return r.deciders[j.pool%len(r.deciders)]
+	return r.deciders[j.poolIndex%len(r.deciders)]
 }
 
 func (r *run) advance(now time.Time) {
@@ -122,13 +125,13 @@
 
 func (r *run) reportTokens(now time.Time, j *job) {
 	d := r.decider(j)
-	fresh := int(j.generated) - j.reported
+	newTokens := int(j.generated) - j.reported
 	if j.reported == 0 {
 		d.RecordFirstToken(now, j.request.ID)
-		fresh--
+		newTokens--
 	}
-	if fresh > 0 {
-		d.RecordTokens(now, j.request.ID, fresh)
+	if newTokens > 0 {
+		d.RecordTokens(now, j.request.ID, newTokens)
 	}
 	j.reported = int(j.generated)
 	if j.complete() {
@@ -142,7 +145,7 @@
 	if now.Sub(start) <= r.scenario.Duration {
 		r.outcome.GoodTokensDuringArrivals += j.answerTokens
 	}
-	class := &r.outcome.Classes[j.class]
+	class := &r.outcome.Classes[j.classIndex]
 	class.Answered++
 	class.latencies = append(class.latencies, now.Sub(j.request.Arrived).Seconds())
 	if !now.After(j.request.AnswerBy) {
@@ -169,7 +172,7 @@
 	for _, j := range timedOut {
 		r.finish(now, j, router.ResultCancelled)
 		r.outcome.WastedTokens += j.reported
-		r.outcome.Classes[j.class].TimedOut++
+		r.outcome.Classes[j.classIndex].TimedOut++
 	}
 }
 
@@ -177,7 +180,7 @@
 	for len(r.pending) > 0 && !r.pending[0].request.Arrived.After(now) {
 		j := r.pending[0]
 		r.pending = r.pending[1:]
-		r.outcome.Classes[j.class].Offered++
+		r.outcome.Classes[j.classIndex].Offered++
 		r.jobs[j.request.ID] = j
 		if refused := r.decider(j).Submit(now, j.request); refused != nil {
 			r.recordRefusal(now, j, refused)
@@ -189,10 +192,10 @@
 	r.outcome.RefusedWait += now.Sub(j.request.Arrived).Seconds() / j.request.GiveUpAt.Sub(j.request.Arrived).Seconds()
 	r.outcome.Refused++
 	delete(r.jobs, j.request.ID)
-	r.outcome.Classes[j.class].Refused[refused.Reason]++
+	r.outcome.Classes[j.classIndex].Refused[refused.Reason]++
 }
 
-func (r *run) apply(now time.Time, decisions []router.Decision) {
+func (r *run) applyDecisions(now time.Time, decisions []router.Decision) {
 	for _, decision := range decisions {
 		j := r.jobs[decision.ID]
 		if decision.Refused != nil {
--- a/internal/router/routertest/scenario.go
+++ b/internal/router/routertest/scenario.go
@@ -10,7 +10,7 @@
 type Scenario struct {
 	Name string
 	Seed uint64
-	// Pools decide without coordination.
+	// Pools is the number of pools, which share the replicas and do not coordinate.
 	Pools    int
 	Replicas int
 	// Slots is the initial limit of each pool at each replica.
--- a/internal/router/routertest/workload.go
+++ b/internal/router/routertest/workload.go
@@ -25,9 +25,9 @@
 type profile struct {
 	class config.Class
 	// loadShare is the fraction of the offered slot time.
-	loadShare float64
-	// medianTokens and sigma describe the log-normal answer length.
+	loadShare    float64
 	promptTokens int
+	// medianTokens and sigma describe the log-normal answer length.
 	medianTokens float64
 	sigma        float64
 }
@@ -59,34 +59,34 @@
 	return list
 }
 
-// serviceTime is in seconds, at the knee.
-func (p profile) serviceTime(length float64) float64 {
-	return float64(p.promptTokens)/prefillRate + length*tokenTime.Seconds()
+// serviceTime returns the time in seconds to answer a request at batch size Knee.
+func (p profile) serviceTime(answerTokens float64) float64 {
+	return float64(p.promptTokens)/prefillRate + answerTokens*tokenTime.Seconds()
 }
 
-func (p profile) meanLength() float64 {
+func (p profile) meanAnswerTokens() float64 {
 	return p.medianTokens * math.Exp(p.sigma*p.sigma/2)
 }
 
-// rate is in arrivals per second.
+// rate returns the arrivals per second.
 func (p profile) rate(load float64, slots int) float64 {
-	return load * p.loadShare * float64(slots) / p.serviceTime(p.meanLength())
+	return load * p.loadShare * float64(slots) / p.serviceTime(p.meanAnswerTokens())
 }
 
 // arrivals returns the jobs in order of arrival.
 func arrivals(s Scenario) []*job {
-	source := rand.New(rand.NewPCG(s.Seed, 1))
+	rng := rand.New(rand.NewPCG(s.Seed, 1))
 	var jobs []*job
-	for class, p := range profiles {
+	for classIndex, p := range profiles {
 		load := s.Load
-		if class == 0 && s.QuickLoadFactor > 0 {
+		if classIndex == 0 && s.QuickLoadFactor > 0 {
 			load *= s.QuickLoadFactor
 		}
 		rate := p.rate(load, s.Replicas*Knee)
-		at := source.ExpFloat64() / rate
-		for at < s.Duration.Seconds() {
-			jobs = append(jobs, newJob(s, source, class, at))
-			at += source.ExpFloat64() / rate
+		arrivalSeconds := rng.ExpFloat64() / rate
+		for arrivalSeconds < s.Duration.Seconds() {
+			jobs = append(jobs, newJob(s, rng, classIndex, arrivalSeconds))
+			arrivalSeconds += rng.ExpFloat64() / rate
 		}
 	}
 	slices.SortFunc(jobs, func(a, b *job) int {
@@ -95,33 +95,34 @@
 	return jobs
 }
 
-func newJob(s Scenario, source *rand.Rand, class int, at float64) *job {
-	p := profiles[class]
-	arrived := start.Add(time.Duration(at * float64(time.Second)))
-	workspace := int(float64(workspaceCount) * math.Pow(source.Float64(), 2))
-	shortTimeout := source.Float64() < s.ShortTimeoutFraction
+func newJob(s Scenario, rng *rand.Rand, classIndex int, arrivalSeconds float64) *job {
+	p := profiles[classIndex]
+	arrived := start.Add(time.Duration(arrivalSeconds * float64(time.Second)))
+	workspace := int(float64(workspaceCount) * math.Pow(rng.Float64(), 2))
+	shortTimeout := rng.Float64() < s.ShortTimeoutFraction
 	answerBy := arrived.Add(p.class.TargetAnswer.Std())
 	giveUpAt := arrived.Add(p.class.GiveUpAfter.Std())
 	if shortTimeout {
 		giveUpAt = arrived.Add(p.class.GiveUpAfter.Std() / shortTimeoutDivisor)
 		answerBy = giveUpAt
 	}
-	prefix := source.IntN(prefixesPerWorkspace)
-	answerTokens := p.medianTokens * workspaceFactor(workspace) * math.Exp(p.sigma*source.NormFloat64())
+	prefix := rng.IntN(prefixesPerWorkspace)
+	answerTokens := p.medianTokens * answerLengthFactor(workspace) * math.Exp(p.sigma*rng.NormFloat64())
 	return &job{
-		class: class, answerTokens: int(min(max(answerTokens, 1), p.medianTokens*maxLengthFactor)), pool: source.IntN(s.Pools),
+		classIndex: classIndex, answerTokens: int(min(max(answerTokens, 1), p.medianTokens*maxLengthFactor)), poolIndex: rng.IntN(s.Pools),
 		request: router.Request{
-			ID:        p.class.Name + strconv.FormatInt(int64(source.Uint64()>>1), 36),
+			ID:        p.class.Name + strconv.FormatInt(int64(rng.Uint64()>>1), 36),
 			Workspace: "workspace-" + strconv.Itoa(workspace), Class: p.class.Name, Tier: p.class.Tier,
 			Arrived:  arrived,
 			AnswerBy: answerBy, GiveUpAt: giveUpAt,
 			PromptTokens: p.promptTokens, Attempt: 1,
-			PrefixHashes: []uint64{uint64(class*workspaceCount*prefixesPerWorkspace + workspace*prefixesPerWorkspace + prefix)},
+			PrefixHashes: []uint64{uint64(classIndex*workspaceCount*prefixesPerWorkspace + workspace*prefixesPerWorkspace + prefix)},
 		},
 	}
 }
 
-// workspaceFactor varies the answer lengths; its mean, weighted by requests, is about 1.
-func workspaceFactor(workspace int) float64 {
+// answerLengthFactor varies the answer lengths between workspaces; its mean, weighted by requests,
+// is about 1.
+func answerLengthFactor(workspace int) float64 {
 	return 0.7 + 0.1*float64(workspace)
 }
--- a/internal/router/running.go
+++ b/internal/router/running.go
@@ -5,10 +5,11 @@
 type runningRequest struct {
 	item    *item
 	replica *replicaState
-	// cached is the fraction of the prompt's prefixes sent to the replica before.
-	cached     float64
-	boundAt    time.Time
-	firstToken time.Time
-	lastToken  time.Time
-	tokens     int
+	// cachedFraction is the fraction of the prompt's prefixes that the replica had already received
+	// when the request was bound.
+	cachedFraction float64
+	boundAt        time.Time
+	firstToken     time.Time
+	lastToken      time.Time
+	tokens         int
 }
