--- a/internal/router/class_state.go
+++ b/internal/router/class_state.go
@@ -25,7 +25,7 @@
 	return class
 }
 
-func schedulerClass(class config.Class, disabled Features) scheduler.Class {
+func schedulerClass(class config.Class, disabled DisabledFeatures) scheduler.Class {
 	minShareAfter := class.MinShareAfter.Std()
 	if disabled.MinShare {
 		minShareAfter = 0
--- a/internal/router/features.go
+++ b/internal/router/features.go
@@ -1,8 +1,8 @@
 package router
 
-// Features selects parts of the decision logic to disable, to measure what each
-// contributes. It is not an operator setting.
-type Features struct {
+// DisabledFeatures selects parts of the decision logic to disable, to measure what each
+// contributes. Each field describes the feature that it disables. It is not an operator setting.
+type DisabledFeatures struct {
 	// SlackOrder orders the requests of a tier by slack instead of arrival.
 	SlackOrder bool
 	// FairShare divides a class's capacity between workspaces.
@@ -22,7 +22,7 @@
 }
 
 // Baseline disables all features.
-var Baseline = Features{
+var Baseline = DisabledFeatures{
 	SlackOrder: true, FairShare: true, MinShare: true, LengthEstimates: true,
 	Admission: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true,
 }
--- a/internal/router/options.go
+++ b/internal/router/options.go
@@ -35,7 +35,7 @@
 	// MaxSketches bounds the length estimates. Default estimate.DefaultMaxSketches.
 	MaxSketches int
 	// Disabled turns off parts of the decision logic, for measurements.
-	Disabled Features
+	Disabled DisabledFeatures
 }
 
 func (o Options) withDefaults() Options {
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -19,7 +19,7 @@
 	upstream   string
 	zone       string
 	rand       *rand.Rand
-	disabled   Features
+	disabled   DisabledFeatures
 	maxWaiting int
 	classes    map[string]*classState
 	replicas   map[string]*replicaState
--- a/internal/router/routertest/compare_test.go
+++ b/internal/router/routertest/compare_test.go
@@ -18,7 +18,7 @@
 
 type policy struct {
 	name     string
-	disabled router.Features
+	disabled router.DisabledFeatures
 }
 
 func scenario(p policy, pools int, load float64) Scenario {
@@ -37,13 +37,13 @@
 // Each policy enables more features than the one before.
 var (
 	baseline           = policy{"baseline", router.Baseline}
-	slack              = policy{"slack", router.Features{MinShare: true, LengthEstimates: true, Admission: true, FairShare: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
-	fairShare          = policy{"and fair share", router.Features{MinShare: true, LengthEstimates: true, Admission: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
-	minShare           = policy{"and minimum share", router.Features{LengthEstimates: true, Admission: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
-	estimates          = policy{"and estimates", router.Features{AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
-	stragglerDetection = policy{"and stragglers", router.Features{AdaptiveLimits: true, ExpectedFinish: true}}
-	expectedFinish     = policy{"and expected finish", router.Features{AdaptiveLimits: true}}
-	allFeatures        = policy{"and learned limits", router.Features{}}
+	slack              = policy{"slack", router.DisabledFeatures{MinShare: true, LengthEstimates: true, Admission: true, FairShare: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
+	fairShare          = policy{"and fair share", router.DisabledFeatures{MinShare: true, LengthEstimates: true, Admission: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
+	minShare           = policy{"and minimum share", router.DisabledFeatures{LengthEstimates: true, Admission: true, AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
+	estimates          = policy{"and estimates", router.DisabledFeatures{AdaptiveLimits: true, StragglerDetection: true, ExpectedFinish: true}}
+	stragglerDetection = policy{"and stragglers", router.DisabledFeatures{AdaptiveLimits: true, ExpectedFinish: true}}
+	expectedFinish     = policy{"and expected finish", router.DisabledFeatures{AdaptiveLimits: true}}
+	allFeatures        = policy{"and learned limits", router.DisabledFeatures{}}
 )
 
 func runAndPrintRow(s Scenario) Outcome {
@@ -95,12 +95,12 @@
 	}
 }
 
-// BenchmarkTableHasty shows the effect of Features.Admission if many callers have short timeouts.
+// BenchmarkTableHasty shows the effect of admission if many callers have short timeouts.
 func BenchmarkTableHasty(_ *testing.B) {
 	fmt.Println("\n" + TableHeader)
 	for _, pools := range []int{1, 8} {
 		for _, load := range []float64{1.0, 2.0} {
-			for _, p := range []policy{{"without admission", router.Features{Admission: true}}, allFeatures} {
+			for _, p := range []policy{{"without admission", router.DisabledFeatures{Admission: true}}, allFeatures} {
 				s := scenario(p, pools, load)
 				s.ShortTimeoutFraction = 0.2
 				runAndPrintRow(s)
--- a/internal/router/routertest/scenario.go
+++ b/internal/router/routertest/scenario.go
@@ -28,7 +28,7 @@
 	// Stragglers are slow from StragglersFrom to StragglersUntil, or to the end if that is zero.
 	StragglersFrom  time.Duration
 	StragglersUntil time.Duration
-	Disabled        router.Features
+	Disabled        router.DisabledFeatures
 	// Clairvoyant replaces the pools by a reference scheduler that knows all lengths.
 	Clairvoyant bool
 }
