--- a/internal/router/pool_progress.go
+++ b/internal/router/pool_progress.go
@@ -80,7 +80,8 @@
 	p.changedAt = now
 }
 
-// observeLength ignores failed attempts, whose token counts would bias the estimates.
+// observeLength records the lengths of complete and cancelled answers. A failed attempt does not show
+// how long its answer would have been.
 func (p *Pool) observeLength(now time.Time, r *runningRequest, result Result) {
 	if result != ResultDone && result != ResultCancelled {
 		return
