--- a/internal/router/routertest/scenario.go
+++ b/internal/router/routertest/scenario.go
@@ -10,7 +10,7 @@
 type Scenario struct {
 	Name string
 	Seed uint64
-	// Pools decide without coordination.
+	// Pools is the number of pools, which share the replicas and do not coordinate.
 	Pools    int
 	Replicas int
 	// Slots is the initial limit of each pool at each replica.
@@ -28,7 +28,7 @@
 	// Stragglers are slow from StragglersFrom to StragglersUntil, or to the end if that is zero.
 	StragglersFrom  time.Duration
 	StragglersUntil time.Duration
-	Disabled        router.Features
+	Disabled        router.DisabledFeatures
 	// Clairvoyant replaces the pools by a reference scheduler that knows all lengths.
 	Clairvoyant bool
 }
