--- a/internal/estimate/sketch.go
+++ b/internal/estimate/sketch.go
@@ -36,10 +36,13 @@
 // sketch is a quantile sketch of answer lengths in two generations, of which only the current
 // one is written.
 type sketch struct {
-	current        *ddsketch.DDSketch
-	previous       *ddsketch.DDSketch
-	startedAt      time.Time
-	sinceRefresh   int
+	current  *ddsketch.DDSketch
+	previous *ddsketch.DDSketch
+	// startedAt is the start of the current generation.
+	startedAt time.Time
+	// sinceRefresh is the number of answers since the quantiles were last recomputed.
+	sinceRefresh int
+	// count is the number of answers in both generations.
 	count          float64
 	quantileValues [numQuantiles]float64
 }
