--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -103,7 +103,7 @@
 	return &Failure{
 		Result: placement.Cancelled, NotRun: true, Step: stepChoose, Peer: placementAttempt.Replica.Address, RetryAfter: decision.RetryAfter,
 		Cause: fmt.Errorf("%w (%s): %s expected at the best of %d replicas, memory used %.2f, %d requests there",
-			errOverloaded, decision.Reason, c.FirstTokenTime.Round(time.Millisecond), c.Candidates, c.MemoryFraction, c.Running),
+			errOverloaded, decision.Reason, c.FirstTokenTime.Round(time.Millisecond), c.AvailableReplicas, c.MemoryFraction, c.Running),
 	}
 }
 
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -133,7 +133,7 @@
 		"request": ev.exchange.call.ID, "route": ev.exchange.call.Route.Name, "upstream": ev.exchange.call.Upstream,
 		"replica": ev.placementAttempt.Replica.ID, "peer": ev.placementAttempt.Replica.Address, "attempt": ev.exchange.attempts,
 		"rank": ev.exchange.call.Rank, "workspace": ev.exchange.call.workspace(),
-		"cost_ms": int(c.Cost), "wait_ms": c.FirstTokenTime.Milliseconds(), "memory_used": roundToHundredths(c.MemoryFraction), "among": c.Candidates, "running": c.Running, "to_read": c.PendingPrefill, "ahead": c.PrefillAhead,
+		"cost_ms": int(c.Cost), "wait_ms": c.FirstTokenTime.Milliseconds(), "memory_used": roundToHundredths(c.MemoryFraction), "among": c.AvailableReplicas, "running": c.Running, "to_read": c.PendingPrefill, "ahead": c.PrefillAhead,
 		"cached": c.CachedTokens, "copy_from": ev.placementAttempt.CopyFrom, "failures": roundToHundredths(c.FailureScore), "read_speed": roundToHundredths(c.PrefillSpeed), "replicas_revision": ev.revision,
 	}
 	if limit, limited := ev.exchange.forwarder.options.RateLimits.InForce()[ev.placementAttempt.Replica.ID]; limited {
--- a/internal/placement/choice.go
+++ b/internal/placement/choice.go
@@ -4,10 +4,10 @@
 
 // Choice describes, for the log, why a replica was chosen.
 type Choice struct {
-	// Cost is the expected cost in milliseconds, including the random jitter. Candidates is the
-	// number of available replicas, whether or not they were sampled.
-	Cost       float64
-	Candidates int
+	// Cost is the expected cost in milliseconds, including the random jitter.
+	Cost float64
+	// AvailableReplicas is the number of replicas that accept new requests, sampled or not.
+	AvailableReplicas int
 	// FirstTokenTime is the expected time to the first token. It includes OwnPrefill, the time to
 	// prefill this prompt, and SlotWait, the time until the replica has a free slot.
 	FirstTokenTime time.Duration
@@ -36,7 +36,7 @@
 func (u *upstream) newChoice(now time.Time, r *Request, d *decision) Choice {
 	s := d.state
 	c := Choice{
-		Cost: d.cost, Candidates: len(u.available),
+		Cost: d.cost, AvailableReplicas: len(u.available),
 		Running: s.running + s.peersRunning, PendingPrefill: s.pendingPrefill(), PrefillAhead: s.prefillAhead(r.Rank),
 		CachedTokens: d.cached, FailureScore: s.failureScoreAt(now),
 	}
