--- a/internal/membership/answer.go
+++ b/internal/membership/answer.go
@@ -6,19 +6,21 @@
 	membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 )
 
-// HandleSync merges a Sync request of a peer and returns the response.
+// HandleSync merges the gossip of a peer's Sync request and returns the response. The
+// response has this node's own record only if the request does not name it with its
+// current incarnation.
 func (t *Table) HandleSync(now time.Time, r *membershipv1.SyncRequest) *membershipv1.SyncResponse {
 	t.counts.SyncsHandled++
 	sender := r.GetGossip().GetSender()
-	if sender.GetRegion() != t.self.wire.Region {
+	if sender.GetRegion() != t.self.record.Region {
 		return t.handleRegionSync(now, r)
 	}
 	t.mergeSender(now, sender)
 	t.mergeGossip(now, r.GetGossip())
 	recipient := t.entries[sender.GetName()]
 	gossip := t.responseGossip(now, r, recipient)
-	if r.Target != t.self.wire.Name || r.TargetIncarnation != t.self.wire.Incarnation {
-		gossip.Sender = t.self.wire
+	if r.Target != t.self.record.Name || r.TargetIncarnation != t.self.record.Incarnation {
+		gossip.Sender = t.self.record
 	}
 	return &membershipv1.SyncResponse{Gossip: gossip}
 }
@@ -31,11 +33,11 @@
 }
 
 // mergeSender merges a peer's own record. A suspect that still sends messages gets
-// a new suspicion timeout, as perhaps only the path to it has failed.
+// a new suspicion timeout, as perhaps only the connection from here to it has failed.
 func (t *Table) mergeSender(now time.Time, sender *membershipv1.Member) {
 	t.mergeMember(now, sender)
 	e, ok := t.entries[sender.GetName()]
-	if ok && e.wire.Liveness == suspect {
+	if ok && e.record.Liveness == suspect {
 		e.deadline = now.Add(t.suspicionTimeout())
 	}
 }
@@ -44,7 +46,7 @@
 func (t *Table) HandleResponse(now time.Time, c Call, r *membershipv1.SyncResponse) {
 	gossip := r.GetGossip()
 	sender := gossip.GetSender()
-	if sender != nil && sender.GetRegion() != t.self.wire.Region {
+	if sender != nil && sender.GetRegion() != t.self.record.Region {
 		t.handleRegionResponse(now, c, gossip)
 		return
 	}
@@ -59,8 +61,8 @@
 	t.checkTableHash(now, c, gossip.GetTableHash())
 }
 
-// checkTableHash schedules a full sync if several responses in a row had a
-// different hash and this table has not changed for settleTime.
+// checkTableHash schedules a full sync if several responses in a row had a different
+// hash and neither a change of this table nor a full sync is within settleTime.
 func (t *Table) checkTableHash(now time.Time, c Call, hash uint64) {
 	if hash == t.hash {
 		t.hashMismatches = 0
@@ -77,14 +79,15 @@
 }
 
 // HandleFailure records that a call got no response. It returns the indirect probes
-// for a failed heartbeat; without helpers the target becomes suspect at once.
+// for a failed probe; without helpers the target becomes suspect at once. A failed
+// seed call delays the next call to that seed.
 func (t *Table) HandleFailure(now time.Time, c Call) []IndirectCall {
 	if c.Kind == CallSeed || c.Kind == CallRegion {
 		t.seeds.recordFailure(now, c.Address)
 		return nil
 	}
 	e, ok := t.entries[c.Target]
-	if c.Kind != CallProbe || !ok || e.wire.Liveness == dead {
+	if c.Kind != CallProbe || !ok || e.record.Liveness == dead {
 		return nil
 	}
 	t.counts.ProbeFailures++
@@ -97,15 +100,16 @@
 	for _, helper := range helpers {
 		t.counts.IndirectProbes++
 		calls = append(calls, IndirectCall{
-			Helper:  helper.wire.Name,
-			Address: helper.wire.PeerAddress,
+			Helper:  helper.record.Name,
+			Address: helper.record.PeerAddress,
 			Request: &membershipv1.ProbeRequest{Target: c.Target, PeerAddress: c.Address},
 		})
 	}
 	return calls
 }
 
-// HandleIndirectSuccess records that a helper reached the target.
+// HandleIndirectSuccess records that a helper reached the target, which lowers
+// awareness.
 func (t *Table) HandleIndirectSuccess(time.Time, Call) { t.awareness = max(t.awareness-1, 0) }
 
 // HandleUnreachable records that neither this node nor a helper reached the target.
@@ -113,29 +117,31 @@
 func (t *Table) HandleUnreachable(now time.Time, c Call) {
 	t.awareness = min(t.awareness+1, maxAwareness)
 	e, ok := t.entries[c.Target]
-	if !ok || e.wire.Liveness != alive || e.wire.Incarnation != c.Request.GetTargetIncarnation() {
+	if !ok || e.record.Liveness != alive || e.record.Incarnation != c.Request.GetTargetIncarnation() {
 		return
 	}
-	t.change(now, e, func(m *membershipv1.Member) { m.Liveness = suspect })
-	t.setDeadline(now, e)
+	t.updateMember(now, e, func(m *membershipv1.Member) { m.Liveness = suspect })
+	t.applyLiveness(now, e)
 	t.pushPending = true
 }
 
-// HandleProbe returns the call that probes a target on behalf of another member.
+// HandleProbe returns the call that probes a target on behalf of another member. Its
+// failure is not passed to HandleFailure; the other member decides on the target.
 func (t *Table) HandleProbe(now time.Time, r *membershipv1.ProbeRequest) Call {
 	if e, ok := t.entries[r.GetTarget()]; ok && e != t.self {
 		return t.newCall(now, CallPush, e)
 	}
 	gossip := t.gossip(now, nil)
-	gossip.Sender = t.self.wire
+	gossip.Sender = t.self.record
 	return Call{
 		Kind: CallPush, Target: r.GetTarget(), Address: r.GetPeerAddress(),
 		Request: &membershipv1.SyncRequest{Gossip: gossip, Target: r.GetTarget()},
 	}
 }
 
-// MatchesResponse reports whether the response came from the call's target, whose
-// address another VM may have after a replacement.
+// MatchesResponse reports whether the response came from the call's target, as another
+// VM may have its address after a replacement. A response without a sender matches:
+// HandleSync omits the sender only if the request names it.
 func (c Call) MatchesResponse(r *membershipv1.SyncResponse) bool {
 	sender := r.GetGossip().GetSender()
 	return sender == nil || c.Target == "" || sender.GetName() == c.Target
--- a/internal/membership/call.go
+++ b/internal/membership/call.go
@@ -7,9 +7,9 @@
 
 // The kinds of calls.
 const (
-	// CallProbe is a heartbeat. If it gets no response, indirect probes follow.
+	// CallProbe is a direct probe. If it gets no response, indirect probes follow.
 	CallProbe CallKind = iota
-	// CallPush sends urgent changes without waiting for the next heartbeat.
+	// CallPush sends urgent changes without waiting for the next probe.
 	CallPush
 	// CallSeed contacts an address that is not yet known as a member.
 	CallSeed
@@ -29,7 +29,7 @@
 	Request *membershipv1.SyncRequest
 }
 
-// IndirectCall asks a helper to probe a target. The sender calls
+// IndirectCall asks a helper to probe a target. The table's user calls
 // HandleIndirectSuccess after the first success, or HandleUnreachable once all have
 // failed.
 type IndirectCall struct {
--- a/internal/membership/clone.go
+++ b/internal/membership/clone.go
@@ -2,7 +2,7 @@
 
 import membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 
-// cloneMember copies a member field by field.
+// cloneMember must copy every field of the message.
 func cloneMember(m *membershipv1.Member) *membershipv1.Member {
 	return &membershipv1.Member{
 		Name:             m.Name,
--- a/internal/membership/cost_test.go
+++ b/internal/membership/cost_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// maxBytesPerSecond is membership's part of the 8 KB/s for a node's control
+// maxBytesPerSecond is membership's share of the limit of 8 KB/s on a node's control
 // traffic.
 const maxBytesPerSecond = 2048
 
@@ -20,7 +20,8 @@
 	}
 }
 
-// loadError is the mean error of the loads that nodes have for each other.
+// loadError is the mean absolute difference between a node's load and the load that
+// the other nodes have recorded for it.
 func (f *fleet) loadError(loads map[string]float64) float64 {
 	sum, n := 0.0, 0
 	for name, table := range f.tables {
@@ -36,7 +37,7 @@
 
 type cost struct{ meanBytes, maxBytes, calls, loadError float64 }
 
-// measureCost starts after the traffic of joining has ended.
+// measureCost excludes the traffic of joining.
 func measureCost(t testing.TB, n, seconds int) cost {
 	f := joinedFleet(t, n)
 	loads := make(map[string]float64)
@@ -83,8 +84,8 @@
 	return mean, worst, calls
 }
 
-// TestRegions checks that three regions with one seed in another one learn of each
-// other, and that a relay's traffic stays bounded.
+// TestRegions checks that three regions learn of each other if each node has one seed
+// in the next region, and that the busiest node's traffic stays bounded.
 func TestRegions(t *testing.T) {
 	f := newFleet(t)
 	names := []string{"east", "north", "west"}
@@ -97,8 +98,8 @@
 	t.Logf("60 nodes in 3 regions: all have the summaries of the other regions after %v", took)
 	for _, table := range f.tables {
 		for _, m := range table.Snapshot().Members() {
-			if m.Region != table.self.wire.Region {
-				t.Fatalf("%s of region %s is listed as a member of region %s", m.Name, m.Region, table.self.wire.Region)
+			if m.Region != table.self.record.Region {
+				t.Fatalf("%s of region %s is listed as a member of region %s", m.Name, m.Region, table.self.record.Region)
 			}
 		}
 	}
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -3,8 +3,10 @@
 //
 // Table implements the SWIM protocol without I/O: random probes, indirect probes,
 // suspicion before removal, refutation by incarnation, and gossip piggybacked on
-// the probes. Runner runs a Table over connect. A node has the members of its own
-// region and a summary of each other region.
+// the probes. Runner runs a Table over Connect RPC. A node has the members of its own
+// region and a summary of each other region, which a few members of each region, its
+// relays, exchange. Notes are small versioned values that other packages send to all
+// members of the region.
 //
 // The state is soft: it may be lost or stale at any time. Errors in it cost
 // efficiency but must not affect correctness. It is limited to MaxMembers members,
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -15,18 +15,18 @@
 )
 
 type entry struct {
-	// wire is replaced, never modified, because messages in flight share it.
-	wire *membershipv1.Member
+	// record is replaced, never modified, because messages in flight share it.
+	record *membershipv1.Member
 	// hash is the xxhash of the name, used for rendezvous hashing.
 	hash uint64
-	// statusSeq is Status.beat; a higher one is newer.
+	// statusSeq is sent as Status.beat; a higher one is newer.
 	statusSeq int64
 	// load is in units of 1/loadSteps.
-	load     uint32
-	revision int64
-	// statusTransmits is how often the status was sent.
+	load           uint32
+	configRevision int64
+	// statusTransmits is the number of messages that carried the current status.
 	statusTransmits int
-	// transmitsLeft is how often the member is still to be sent.
+	// transmitsLeft is the number of messages that are still to carry the record.
 	transmitsLeft int
 	// listedLeaving is the leaving state in the platform's last list.
 	listedLeaving bool
@@ -34,8 +34,8 @@
 	deadline time.Time
 }
 
-func newEntry(wire *membershipv1.Member) *entry {
-	return &entry{wire: wire, hash: xxhash.Sum64String(wire.Name)}
+func newEntry(record *membershipv1.Member) *entry {
+	return &entry{record: record, hash: xxhash.Sum64String(record.Name)}
 }
 
 // id is the short identifier used in statuses.
@@ -43,11 +43,11 @@
 
 func (e *entry) state() State {
 	switch {
-	case e.wire.Liveness == dead:
+	case e.record.Liveness == dead:
 		return StateDead
-	case e.wire.Leaving:
+	case e.record.Leaving:
 		return StateLeaving
-	case e.wire.Liveness == suspect:
+	case e.record.Liveness == suspect:
 		return StateSuspect
 	default:
 		return StateServing
@@ -56,14 +56,14 @@
 
 func (e *entry) member() Member {
 	return Member{
-		Name:             e.wire.Name,
-		EntryAddress:     e.wire.EntryAddress,
-		PeerAddress:      e.wire.PeerAddress,
-		AvailabilityZone: e.wire.AvailabilityZone,
-		Region:           e.wire.Region,
-		Incarnation:      e.wire.Incarnation,
+		Name:             e.record.Name,
+		EntryAddress:     e.record.EntryAddress,
+		PeerAddress:      e.record.PeerAddress,
+		AvailabilityZone: e.record.AvailabilityZone,
+		Region:           e.record.Region,
+		Incarnation:      e.record.Incarnation,
 		State:            e.state(),
-		ConfigRevision:   e.revision,
+		ConfigRevision:   e.configRevision,
 		Load:             float64(e.load) / loadSteps,
 	}
 }
@@ -73,19 +73,19 @@
 		Id:             e.id(),
 		Beat:           e.statusSeq,
 		Load:           e.load,
-		ConfigRevision: e.revision,
+		ConfigRevision: e.configRevision,
 	}
 }
 
 // digest is the entry's part of the table hash. Dead members have none, since each
 // node removes them at a different time.
 func (e *entry) digest() uint64 {
-	if e.wire.Liveness == dead {
+	if e.record.Liveness == dead {
 		return 0
 	}
-	state := uint64(e.wire.Liveness) << 1
-	if e.wire.Leaving {
+	state := uint64(e.record.Liveness) << 1
+	if e.record.Leaving {
 		state |= 1
 	}
-	return mix(e.hash ^ mix(uint64(e.wire.Incarnation)<<3|state))
+	return mix(e.hash ^ mix(uint64(e.record.Incarnation)<<3|state))
 }
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -27,14 +27,14 @@
 
 // fleet connects tables in memory; it encodes each message and counts its bytes.
 type fleet struct {
-	t         testing.TB
-	now       time.Time
-	rng       *rand.Rand
-	tables    map[string]*Table
-	order     []string
-	traffic   map[string]*traffic
-	scheduled []scheduledEvent
-	lost      func(from, to string) bool
+	t               testing.TB
+	now             time.Time
+	rng             *rand.Rand
+	tables          map[string]*Table
+	order           []string
+	traffic         map[string]*traffic
+	scheduledEvents []scheduledEvent
+	lost            func(from, to string) bool
 	// blocked stops calls in one direction; responses to the opposite ones still
 	// pass.
 	blocked func(from, to string) bool
@@ -73,8 +73,8 @@
 	return table
 }
 
-// fill starts n nodes of a region whose only seed is the first of them.
-func (f *fleet) fill(region string, n int) {
+// addRegion starts n nodes of a region whose only seed is the first of them.
+func (f *fleet) addRegion(region string, n int) {
 	for i := range n {
 		f.add(region, i, nodeName(region, 0))
 	}
@@ -116,29 +116,29 @@
 }
 
 func (f *fleet) runScheduled() {
-	due := f.scheduled
-	f.scheduled = nil
+	due := f.scheduledEvents
+	f.scheduledEvents = nil
 	for _, e := range due {
 		if f.now.Before(e.at) {
-			f.scheduled = append(f.scheduled, e)
+			f.scheduledEvents = append(f.scheduledEvents, e)
 			continue
 		}
 		e.do()
 	}
 }
 
-func (f *fleet) after(d time.Duration, do func()) {
-	f.scheduled = append(f.scheduled, scheduledEvent{at: f.now.Add(d), do: do})
+func (f *fleet) schedule(d time.Duration, do func()) {
+	f.scheduledEvents = append(f.scheduledEvents, scheduledEvent{at: f.now.Add(d), do: do})
 }
 
 func (f *fleet) send(from string, call Call) {
 	if f.exchange(from, call) {
 		return
 	}
-	f.after(DefaultProbeTimeout, func() { f.failed(from, call) })
+	f.schedule(DefaultProbeTimeout, func() { f.handleFailure(from, call) })
 }
 
-func (f *fleet) failed(from string, call Call) {
+func (f *fleet) handleFailure(from string, call Call) {
 	table, ok := f.tables[from]
 	if !ok {
 		return
@@ -151,7 +151,7 @@
 	for _, c := range indirect {
 		reached = f.probe(from, c) || reached
 	}
-	f.after(2*DefaultProbeTimeout, func() {
+	f.schedule(2*DefaultProbeTimeout, func() {
 		if reached {
 			table.HandleIndirectSuccess(f.now, call)
 			return
@@ -187,6 +187,7 @@
 	return true
 }
 
+// transcode encodes from, decodes it into to and returns the encoded size.
 func (f *fleet) transcode(from, to proto.Message) int {
 	raw, err := proto.Marshal(from)
 	if err != nil {
@@ -237,7 +238,7 @@
 	return StateDead
 }
 
-// joined reports whether each node sees n serving members.
+// joined returns a condition for runUntil: each node sees n serving members.
 func (f *fleet) joined(n int) func() bool {
 	return func() bool {
 		for _, table := range f.tables {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -19,14 +19,15 @@
 		TableHash:      t.hash,
 		NewestRevision: t.newestRevision,
 	}
-	if recipient != nil && (recipient.wire.Liveness != alive || recipient.wire.Leaving) {
-		g.Members = append(g.Members, recipient.wire)
+	if recipient != nil && (recipient.record.Liveness != alive || recipient.record.Leaving) {
+		g.Members = append(g.Members, recipient.record)
 	}
 	g.Members = append(g.Members, t.takeUpdates(recipient)...)
 	return g
 }
 
-// takeUpdates picks the member changes with the most transmissions left.
+// takeUpdates returns the changed members with the most transmissions left, and uses
+// up one of each.
 func (t *Table) takeUpdates(except *entry) []*membershipv1.Member {
 	var pending []*entry
 	for _, e := range t.list {
@@ -47,17 +48,18 @@
 	members := make([]*membershipv1.Member, len(pending))
 	for i, e := range pending {
 		e.transmitsLeft--
-		members[i] = e.wire
+		members[i] = e.record
 	}
 	return members
 }
 
-// takeStatuses picks the statuses transmitted least often.
+// takeStatuses returns the statuses with the fewest transmissions and counts one more
+// for each. Those sent gossipRounds times are left out.
 func (t *Table) takeStatuses(except *entry) []*membershipv1.Status {
 	limit := t.gossipRounds()
 	var pending []*entry
 	for _, e := range t.list {
-		if e != t.self && e != except && e.statusSeq > 0 && e.statusTransmits < limit && e.wire.Liveness != dead {
+		if e != t.self && e != except && e.statusSeq > 0 && e.statusTransmits < limit && e.record.Liveness != dead {
 			pending = append(pending, e)
 		}
 	}
@@ -87,7 +89,7 @@
 		NewestRevision: t.newestRevision,
 	}
 	for _, e := range t.list {
-		g.Members = append(g.Members, e.wire)
+		g.Members = append(g.Members, e.record)
 		if e.statusSeq > 0 {
 			g.Statuses = append(g.Statuses, e.status())
 		}
@@ -97,9 +99,9 @@
 
 func compareNames(a, b *entry) int {
 	switch {
-	case a.wire.Name < b.wire.Name:
+	case a.record.Name < b.record.Name:
 		return -1
-	case a.wire.Name > b.wire.Name:
+	case a.record.Name > b.record.Name:
 		return 1
 	default:
 		return 0
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -7,7 +7,7 @@
 const (
 	// StateServing members take requests and own keys.
 	StateServing State = "serving"
-	// StateSuspect members missed heartbeats, but keep the keys they own.
+	// StateSuspect members did not respond to probes, but keep the keys they own.
 	StateSuspect State = "suspect"
 	// StateLeaving members finish their work and take no new work.
 	StateLeaving State = "leaving"
@@ -41,7 +41,8 @@
 	// Members returns all members that are not dead, self included, ordered
 	// by name.
 	Members() []Member
-	// Owner returns the serving member that owns the key by rendezvous hash.
+	// Owner returns the member that owns the key by rendezvous hash. Members that
+	// are leaving or dead own none.
 	Owner(key string) Member
 }
 
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// mergeRevision records a newer revision for a push; it reports whether it was new.
+// mergeRevision records a newer configuration revision and requests a push. It reports
+// whether the revision was newer.
 func (t *Table) mergeRevision(revision int64) bool {
 	if revision <= t.newestRevision {
 		return false
@@ -37,13 +38,14 @@
 	return true
 }
 
-// mergeMember merges a peer's record of a member: a higher incarnation replaces the
-// entry; at the same one the worse liveness and leaving win.
+// mergeMember merges a peer's record of a member. A record with a higher incarnation
+// replaces the known one. At the same incarnation the worse liveness is kept, and a
+// member that is leaving in either record is leaving.
 func (t *Table) mergeMember(now time.Time, m *membershipv1.Member) {
-	if m.GetName() == "" || m.GetRegion() != t.self.wire.Region {
+	if m.GetName() == "" || m.GetRegion() != t.self.record.Region {
 		return
 	}
-	if m.Name == t.self.wire.Name {
+	if m.Name == t.self.record.Name {
 		t.mergeSelf(now, m)
 		return
 	}
@@ -51,9 +53,9 @@
 	switch {
 	case !ok:
 		t.addMember(now, m)
-	case m.Incarnation > e.wire.Incarnation:
-		t.replace(now, e, m)
-	case m.Incarnation == e.wire.Incarnation:
+	case m.Incarnation > e.record.Incarnation:
+		t.replaceMember(now, e, m)
+	case m.Incarnation == e.record.Incarnation:
 		t.mergeSameIncarnation(now, e, m)
 	}
 }
@@ -64,47 +66,49 @@
 	}
 	e := newEntry(m)
 	t.add(e)
-	t.setDeadline(now, e)
+	t.applyLiveness(now, e)
 	t.scheduleUpdate(now, e)
 	t.pushPending = true
 }
 
-func (t *Table) replace(now time.Time, e *entry, m *membershipv1.Member) {
+func (t *Table) replaceMember(now time.Time, e *entry, m *membershipv1.Member) {
 	t.hash ^= e.digest()
-	if m.Leaving != e.wire.Leaving || m.Liveness != e.wire.Liveness {
+	if m.Leaving != e.record.Leaving || m.Liveness != e.record.Liveness {
 		t.pushPending = true
 	}
-	e.wire = m
+	e.record = m
 	t.hash ^= e.digest()
-	t.setDeadline(now, e)
+	t.applyLiveness(now, e)
 	t.scheduleUpdate(now, e)
 }
 
 func (t *Table) mergeSameIncarnation(now time.Time, e *entry, m *membershipv1.Member) {
-	startsLeaving := m.Leaving && !e.wire.Leaving
-	if m.Liveness <= e.wire.Liveness && !startsLeaving {
+	startsLeaving := m.Leaving && !e.record.Leaving
+	if m.Liveness <= e.record.Liveness && !startsLeaving {
 		return
 	}
-	worse := m.Liveness > e.wire.Liveness
-	t.change(now, e, func(next *membershipv1.Member) {
+	worse := m.Liveness > e.record.Liveness
+	t.updateMember(now, e, func(next *membershipv1.Member) {
 		next.Liveness = max(next.Liveness, m.Liveness)
 		next.Leaving = next.Leaving || m.Leaving
 	})
 	t.pushPending = true
 	if worse {
-		t.setDeadline(now, e)
+		t.applyLiveness(now, e)
 	}
 }
 
-func (t *Table) setDeadline(now time.Time, e *entry) {
-	switch e.wire.Liveness {
+// applyLiveness sets the entry's deadline for its current liveness and counts
+// suspicions and deaths. The address of a dead member becomes a seed.
+func (t *Table) applyLiveness(now time.Time, e *entry) {
+	switch e.record.Liveness {
 	case suspect:
 		t.counts.Suspicions++
 		e.deadline = now.Add(t.suspicionTimeout())
 	case dead:
 		t.counts.Deaths++
 		e.deadline = now.Add(tombstoneTTL)
-		t.seeds.addDead(now, e.wire.Name, e.wire.PeerAddress)
+		t.seeds.addDead(now, e.record.Name, e.record.PeerAddress)
 	default:
 		e.deadline = time.Time{}
 	}
@@ -117,17 +121,18 @@
 	return time.Duration(float64(t.settings.SuspicionTimeout) * scale * float64(1+t.awareness))
 }
 
-// mergeSelf refutes suspicion, or an incarnation from before a restart, with a
-// higher one. It accepts a report that this node is leaving.
+// mergeSelf merges a peer's record of this node. It refutes a suspicion, or a record
+// from before a restart, by taking a higher incarnation than the record. It accepts
+// a report that this node is leaving.
 func (t *Table) mergeSelf(now time.Time, m *membershipv1.Member) {
-	own := t.self.wire
+	own := t.self.record
 	if m.Incarnation < own.Incarnation {
 		return
 	}
 	reportedLeaving := m.Leaving && m.Incarnation == own.Incarnation && !own.Leaving
 	suspected := m.Liveness != alive
-	staleIncarnation := m.Incarnation > own.Incarnation
-	if !reportedLeaving && !suspected && !staleIncarnation {
+	higherIncarnation := m.Incarnation > own.Incarnation
+	if !reportedLeaving && !suspected && !higherIncarnation {
 		return
 	}
 	t.pushPending = true
@@ -137,8 +142,9 @@
 	if reportedLeaving {
 		t.lastLeavingReport = now
 	}
+	// As in NewTable, statuses from before a restart must be older.
 	t.self.statusSeq = max(t.self.statusSeq, m.Incarnation)
-	t.change(now, t.self, func(next *membershipv1.Member) {
+	t.updateMember(now, t.self, func(next *membershipv1.Member) {
 		next.Incarnation = m.Incarnation + 1
 		next.Leaving = next.Leaving || reportedLeaving
 	})
@@ -157,7 +163,7 @@
 	}
 	e.statusSeq = s.Beat
 	e.load = s.Load
-	e.revision = s.ConfigRevision
+	e.configRevision = s.ConfigRevision
 	e.statusTransmits = 0
 	t.version++
 }
--- a/internal/membership/notes.go
+++ b/internal/membership/notes.go
@@ -18,7 +18,7 @@
 type noteKey struct{ kind, key string }
 
 type noteEntry struct {
-	wire          *membershipv1.Note
+	note          *membershipv1.Note
 	transmitsLeft int
 }
 
@@ -34,7 +34,7 @@
 }
 
 // Publish sends a note to all members of the region. A note whose version is not
-// higher than the known one is dropped.
+// higher than the known one is dropped without an error, as is an expired one.
 func (t *Table) Publish(now time.Time, n *membershipv1.Note) error {
 	if len(n.Value) > MaxNoteBytes {
 		return ErrNoteTooLarge
@@ -72,29 +72,31 @@
 		return true
 	}
 	for key, e := range l.entries {
-		if expired(now, e.wire) {
+		if expired(now, e.note) {
 			delete(l.entries, key)
 		}
 	}
 	return len(l.entries) < MaxNotes
 }
 
+// merge stores a note if it is newer, and reports whether it did.
 func (l *noteTable) merge(now time.Time, n *membershipv1.Note, transmits int) bool {
 	if expired(now, n) {
 		return false
 	}
 	key := noteKey{kind: n.Kind, key: n.Key}
-	if old, ok := l.entries[key]; ok && old.wire.Version >= n.Version {
+	if old, ok := l.entries[key]; ok && old.note.Version >= n.Version {
 		return false
 	}
-	l.entries[key] = &noteEntry{wire: n, transmitsLeft: transmits}
+	l.entries[key] = &noteEntry{note: n, transmitsLeft: transmits}
 	return true
 }
 
+// take returns up to n notes with the most transmissions left, and uses up one of each.
 func (l *noteTable) take(now time.Time, n int) []*membershipv1.Note {
 	var pending []*noteEntry
 	for _, e := range l.entries {
-		if e.transmitsLeft > 0 && !expired(now, e.wire) {
+		if e.transmitsLeft > 0 && !expired(now, e.note) {
 			pending = append(pending, e)
 		}
 	}
@@ -102,13 +104,13 @@
 		if a.transmitsLeft != b.transmitsLeft {
 			return b.transmitsLeft - a.transmitsLeft
 		}
-		return compareStrings(a.wire.Kind+a.wire.Key, b.wire.Kind+b.wire.Key)
+		return compareStrings(a.note.Kind+a.note.Key, b.note.Kind+b.note.Key)
 	})
 	pending = pending[:min(n, len(pending))]
 	var notes []*membershipv1.Note
 	for _, e := range pending {
 		e.transmitsLeft--
-		notes = append(notes, e.wire)
+		notes = append(notes, e.note)
 	}
 	return notes
 }
@@ -116,8 +118,8 @@
 func (l *noteTable) all(now time.Time) []*membershipv1.Note {
 	var notes []*membershipv1.Note
 	for _, e := range l.entries {
-		if !expired(now, e.wire) {
-			notes = append(notes, e.wire)
+		if !expired(now, e.note) {
+			notes = append(notes, e.note)
 		}
 	}
 	return notes
--- a/internal/membership/overhead_test.go
+++ b/internal/membership/overhead_test.go
@@ -18,7 +18,8 @@
 	"galenatrestle/internal/peer"
 )
 
-// TestCallOverhead checks callOverhead on an open loopback connection.
+// TestCallOverhead compares callOverhead with the bytes of calls on an open loopback
+// connection.
 func TestCallOverhead(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	keys, err := peer.NewKeys(peer.KeyFiles{}, registry)
@@ -40,7 +41,7 @@
 	protocols.SetUnencryptedHTTP2(true)
 	transport := &http.Transport{Protocols: &protocols}
 	dialer := &net.Dialer{}
-	transport.DialContext = countDials(dialer, &bytes)
+	transport.DialContext = dialCountingBytes(dialer, &bytes)
 	defer transport.CloseIdleConnections()
 	client := membershipv1connect.NewMembershipServiceClient(
 		&http.Client{Transport: transport}, "http://"+listener.Addr().String())
@@ -62,6 +63,8 @@
 		messages += int64(proto.Size(request) + proto.Size(response.Msg))
 	}
 	perCall := float64(bytes.Load()-messages) / calls
+	// In each direction 1.5 packets with IPv4 and TCP headers (40) and a TLS 1.3
+	// record (22).
 	const tcpAndTLS = 2 * (40 + 22) * 1.5
 	t.Logf("measured %.0f bytes per call beyond the messages in HTTP/2, about %.0f with TCP and TLS records", perCall, perCall+tcpAndTLS)
 	if total := perCall + tcpAndTLS; total > callOverhead || total < callOverhead/2 {
@@ -69,7 +72,7 @@
 	}
 }
 
-func countDials(dialer *net.Dialer, bytes *atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
+func dialCountingBytes(dialer *net.Dialer, bytes *atomic.Int64) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
--- a/internal/membership/regions.go
+++ b/internal/membership/regions.go
@@ -11,10 +11,11 @@
 
 type regionEntry struct {
 	summary *membershipv1.RegionSummary
-	// transmitsLeft is how often the summary is still to be sent.
+	// transmitsLeft is the number of messages that are still to carry the summary.
 	transmitsLeft int
 	receivedAt    time.Time
-	// extraContacts are peer addresses from elsewhere than the summary, by name.
+	// extraContacts maps node names to peer addresses that are not from the current
+	// summary.
 	extraContacts map[string]string
 }
 
@@ -31,6 +32,8 @@
 	return &regionTable{ownRegion: own, entries: make(map[string]*regionEntry)}
 }
 
+// entry returns the region's entry, which it adds if necessary, or nil if the table
+// is full.
 func (r *regionTable) entry(region string) *regionEntry {
 	e, ok := r.entries[region]
 	if ok {
@@ -44,7 +47,7 @@
 	return e
 }
 
-// addContact adds a contact that is not from a summary, up to maxContacts.
+// addContact adds an extra contact, up to maxContacts.
 func (r *regionTable) addContact(region, name, address string) {
 	e := r.entry(region)
 	if e == nil {
@@ -68,6 +71,8 @@
 	return true
 }
 
+// take returns up to n summaries with the most transmissions left, and uses up one of
+// each.
 func (r *regionTable) take(n int) []*membershipv1.RegionSummary {
 	var pending []*regionEntry
 	for _, e := range r.entries {
@@ -109,6 +114,7 @@
 	return names
 }
 
+// contacts returns the contacts of the summary and the extra ones, ordered by address.
 func (r *regionTable) contacts(region string) []*membershipv1.Contact {
 	e := r.entries[region]
 	contacts := slices.Clone(e.summary.GetContacts())
@@ -132,6 +138,7 @@
 	}
 }
 
+// view returns the summaries of the other regions, ordered by name.
 func (r *regionTable) view() []Region {
 	var regions []Region
 	for _, s := range r.all() {
--- a/internal/membership/relay.go
+++ b/internal/membership/relay.go
@@ -8,11 +8,12 @@
 	membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 )
 
-// relayKey is the key whose first maxContacts owners are the region's relays.
+// relayKey is the key whose first maxContacts owners are the region's relays, the
+// members that exchange summaries with other regions.
 const relayKey = "relay"
 
-// tickRegion runs on relays: the first one summarizes this region, and each
-// exchanges summaries with other regions.
+// tickRegion returns no calls unless this node is a relay. Each relay calls other
+// regions to exchange summaries; the first one also summarizes this region.
 func (t *Table) tickRegion(now time.Time) []Call {
 	notifyAll := t.regions.notifyAll
 	t.regions.notifyAll = false
@@ -24,7 +25,7 @@
 	relays := t.Snapshot().Owners(relayKey, maxContacts)
 	position := -1
 	for i, m := range relays {
-		if m.Name == t.self.wire.Name {
+		if m.Name == t.self.record.Name {
 			position = i
 		}
 	}
@@ -37,6 +38,8 @@
 	return t.callRegions(notifyAll && position == 0)
 }
 
+// composeSummary stores a new summary of this region, unless the last one is equivalent
+// and newer than summaryRefresh.
 func (t *Table) composeSummary(now time.Time, relays []Member) {
 	s := t.summarize(relays)
 	old := t.regions.entry(s.Region)
@@ -66,15 +69,15 @@
 }
 
 func (t *Table) summarize(relays []Member) *membershipv1.RegionSummary {
-	s := &membershipv1.RegionSummary{Region: t.self.wire.Region}
+	s := &membershipv1.RegionSummary{Region: t.self.record.Region}
 	var load uint32
 	for _, e := range t.list {
-		if e.wire.Liveness == dead {
+		if e.record.Liveness == dead {
 			continue
 		}
 		s.Members++
-		s.ConfigRevision = max(s.ConfigRevision, e.revision)
-		if !e.wire.Leaving {
+		s.ConfigRevision = max(s.ConfigRevision, e.configRevision)
+		if !e.record.Leaving {
 			s.Serving++
 			load += e.load
 		}
@@ -116,7 +119,7 @@
 
 func (t *Table) regionGossip() *membershipv1.Gossip {
 	return &membershipv1.Gossip{
-		Sender:         t.self.wire,
+		Sender:         t.self.record,
 		Regions:        t.regions.all(),
 		NewestRevision: t.newestRevision,
 	}
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -17,16 +17,17 @@
 
 const tickInterval = 100 * time.Millisecond
 
+// maxCalls limits the calls of Run that are in progress; more are dropped.
 const maxCalls = 64
 
 // Runner runs a Table: it sends the table's calls, serves the calls of peers and
 // publishes snapshots. It implements View and is safe for concurrent use.
 type Runner struct {
-	caller    Caller
-	timeout   time.Duration
-	snapshot  atomic.Pointer[Snapshot]
-	callSlots chan struct{}
-	calls     sync.WaitGroup
+	caller      Caller
+	callTimeout time.Duration
+	snapshot    atomic.Pointer[Snapshot]
+	callSlots   chan struct{}
+	calls       sync.WaitGroup
 
 	mu            sync.Mutex
 	table         *Table
@@ -37,7 +38,7 @@
 func NewRunner(self Member, settings Settings, caller Caller, rng *rand.Rand) *Runner {
 	r := &Runner{
 		caller:        caller,
-		timeout:       settings.withDefaults().ProbeTimeout,
+		callTimeout:   settings.withDefaults().ProbeTimeout,
 		callSlots:     make(chan struct{}, maxCalls),
 		table:         NewTable(self, settings, rng, time.Now()),
 		noteReceivers: make(map[string]func(*membershipv1.Note)),
@@ -46,7 +47,8 @@
 	return r
 }
 
-// Run sends heartbeats until ctx is done, and returns when the last call has ended.
+// Run sends the table's calls until ctx is done, and returns when the last one has
+// ended.
 func (r *Runner) Run(ctx context.Context) error {
 	defer r.calls.Wait()
 	ticker := time.NewTicker(tickInterval)
@@ -75,7 +77,7 @@
 // Owner implements View.
 func (r *Runner) Owner(key string) Member { return r.View().Owner(key) }
 
-// Owners returns up to n members in the order in which they own the key.
+// Owners returns up to n members in rendezvous order, the key's owner first.
 func (r *Runner) Owners(key string, n int) []Member { return r.View().Owners(key, n) }
 
 // SetStatus sets this node's own load and configuration revision.
@@ -89,7 +91,7 @@
 // CancelLeave reverts Leave; see Table.CancelLeave.
 func (r *Runner) CancelLeave() { r.update(func(now time.Time) { r.table.CancelLeave(now) }) }
 
-// AddSeed adds a peer address from the settings.
+// AddSeed adds a configured peer address as a seed.
 func (r *Runner) AddSeed(address string) {
 	r.update(func(time.Time) { r.table.AddSeed(address) })
 }
@@ -170,7 +172,7 @@
 	return receivers
 }
 
-// startCall runs f on its own goroutine, or drops it if maxCalls are running.
+// startCall runs f on a new goroutine, or drops it if maxCalls are running.
 func (r *Runner) startCall(f func()) {
 	select {
 	case r.callSlots <- struct{}{}:
@@ -183,7 +185,7 @@
 	})
 }
 
-// send makes one call and, if a heartbeat fails, the indirect probes.
+// send makes one call and, if it is a probe that fails, the indirect probes.
 func (r *Runner) send(ctx context.Context, call Call) {
 	if r.exchange(ctx, call) || ctx.Err() != nil {
 		return
@@ -208,7 +210,7 @@
 
 // exchange makes one call and reports whether its target responded.
 func (r *Runner) exchange(ctx context.Context, call Call) bool {
-	ctx, cancel := context.WithTimeout(ctx, r.timeout)
+	ctx, cancel := context.WithTimeout(ctx, r.callTimeout)
 	defer cancel()
 	response, err := r.caller.Sync(ctx, call.Address, call.Request)
 	if err != nil || !call.MatchesResponse(response) {
@@ -220,7 +222,7 @@
 
 // probeIndirectly reports whether one of the helpers reached the target.
 func (r *Runner) probeIndirectly(ctx context.Context, calls []IndirectCall) bool {
-	ctx, cancel := context.WithTimeout(ctx, 2*r.timeout)
+	ctx, cancel := context.WithTimeout(ctx, 2*r.callTimeout)
 	defer cancel()
 	results := make(chan bool, len(calls))
 	for _, c := range calls {
--- a/internal/membership/runner_test.go
+++ b/internal/membership/runner_test.go
@@ -29,9 +29,9 @@
 			r.OnNote("k", func(n *membershipv1.Note) { got.Store(name, string(n.Value)) })
 			net.Register(name, r)
 			runners = append(runners, r)
-			own, stop := context.WithCancel(ctx)
+			runCtx, stop := context.WithCancel(ctx)
 			stops[name] = stop
-			running.Go(func() { r.Run(own) })
+			running.Go(func() { r.Run(runCtx) })
 		}
 		time.Sleep(20 * time.Second)
 		first := runners[0]
--- a/internal/membership/seeds.go
+++ b/internal/membership/seeds.go
@@ -8,17 +8,19 @@
 const (
 	seedMinBackoff = 2 * time.Second
 	seedMaxBackoff = time.Minute
-	// maxUnlistedSeedFailures limits the attempts at seeds that are not listed.
+	// maxUnlistedSeedFailures is the number of failed calls after which a seed that is
+	// not listed is removed.
 	maxUnlistedSeedFailures = 12
 )
 
 type seed struct {
 	name    string
 	address string
-	// listed seeds are in the platform's list or in the settings.
-	listed   bool
-	failures int
-	next     time.Time
+	// listed seeds are in the platform's last list. Configured ones count as listed
+	// until the first list.
+	listed      bool
+	failures    int
+	nextAttempt time.Time
 }
 
 type seedList struct {
@@ -37,13 +39,13 @@
 	l.add(&seed{name: name, address: address, listed: true})
 }
 
-// addDead keeps a dead member's address, so that the two sides of a healed
+// addDead adds a dead member's address as a seed, so that the two sides of a healed
 // partition find each other without the platform.
 func (l *seedList) addDead(now time.Time, name, address string) {
 	if _, ok := l.byAddress[address]; ok {
 		return
 	}
-	l.add(&seed{name: name, address: address, next: now.Add(seedMinBackoff)})
+	l.add(&seed{name: name, address: address, nextAttempt: now.Add(seedMinBackoff)})
 }
 
 func (l *seedList) add(s *seed) {
@@ -53,6 +55,7 @@
 	l.byAddress[s.address] = s
 }
 
+// updateListed sets which seeds are listed by the addresses of a platform list.
 func (l *seedList) updateListed(listed map[string]bool) {
 	for address, s := range l.byAddress {
 		s.listed = listed[address]
@@ -72,14 +75,14 @@
 		return
 	}
 	backoff := min(seedMinBackoff<<min(s.failures, 8), seedMaxBackoff)
-	s.next = now.Add(backoff)
+	s.nextAttempt = now.Add(backoff)
 }
 
 // due returns the seeds to call now, ordered by address.
 func (l *seedList) due(now time.Time, known func(*seed) bool) []*seed {
 	var list []*seed
 	for _, s := range l.byAddress {
-		if !now.Before(s.next) && !known(s) {
+		if !now.Before(s.nextAttempt) && !known(s) {
 			list = append(list, s)
 		}
 	}
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -28,8 +28,8 @@
 	ProbeTimeout time.Duration
 	// IndirectProbes is the number of helpers for a failed probe.
 	IndirectProbes int
-	// SuspicionTimeout is the time to refute among up to ten members. It grows with
-	// the logarithm of their number.
+	// SuspicionTimeout is the time that a suspect has to refute in a region of up to
+	// ten members. It grows with the logarithm of their number.
 	SuspicionTimeout time.Duration
 	// StatusRefresh is the longest time between two statuses of this node.
 	StatusRefresh time.Duration
@@ -87,7 +87,9 @@
 	minLoadChange = 4
 	// minSummaryLoadChange is the same for a region's mean load.
 	minSummaryLoadChange = 8
-	pushFanout           = 3
+	// pushFanout is the number of members to which a change is pushed, and the number
+	// of seeds that a node without other members calls at once.
+	pushFanout = 3
 )
 
 func (s Settings) withDefaults() Settings {
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -7,25 +7,26 @@
 
 // Snapshot is an immutable view of the members. It implements View.
 type Snapshot struct {
-	self     Member
-	members  []Member
-	serving  []candidate
-	regions  []Region
-	revision int64
+	self    Member
+	members []Member
+	// serving are the members that own keys, by their indexes in members.
+	serving              []candidate
+	regions              []Region
+	newestConfigRevision int64
 }
 
 // Region is the summary of another region.
 type Region struct {
 	Name string
-	// Serving members own keys.
+	// Members is the number that are not dead, Serving the number that own keys.
 	Members, Serving int
 	// Load is the mean load of the serving members; see Member.Load.
 	Load float64
-	// ConfigRevision is the newest configuration revision in force there.
+	// ConfigRevision is the newest active configuration revision in the region.
 	ConfigRevision int64
 	// Contacts are the peer addresses of the region's relays.
 	Contacts []string
-	// SummarizedAt is by the clock of the region's first relay.
+	// SummarizedAt is the time of the summary by the clock of the region's first relay.
 	SummarizedAt time.Time
 }
 
@@ -39,7 +40,7 @@
 func (s *Snapshot) Regions() []Region { return s.regions }
 
 // NewestRevision returns the newest configuration revision of any region.
-func (s *Snapshot) NewestRevision() int64 { return s.revision }
+func (s *Snapshot) NewestRevision() int64 { return s.newestConfigRevision }
 
 // Serving returns the number of members that own keys.
 func (s *Snapshot) Serving() int { return len(s.serving) }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -42,13 +42,16 @@
 	lastChange     time.Time
 	lastFullSync   time.Time
 	advertisedLoad uint32
+	// awareness is Lifeguard's local health score, 0 if healthy; see maxAwareness.
 	awareness      int
 	hashMismatches int
 	// pushPending requests a push of urgent changes at the next tick.
 	pushPending bool
-	// leaveRequested is set by Leave, as opposed to the platform's list.
+	// leaveRequested means that Leave was called, so that the platform's list must not
+	// clear leaving.
 	leaveRequested bool
-	// lastLeavingReport is from the platform's list or a peer.
+	// lastLeavingReport is when the platform's list or a peer last reported this node
+	// as leaving.
 	lastLeavingReport time.Time
 	// fullSyncTarget is the member whose whole table the next tick requests.
 	fullSyncTarget string
@@ -57,7 +60,7 @@
 
 // NewTable returns a table with only this node. self.Incarnation should be the
 // start time in Unix milliseconds, so that it is higher than before a restart. If
-// it is not, the first peer that has a higher one corrects it.
+// it is not, mergeSelf raises it when a peer sends a higher one.
 func NewTable(self Member, settings Settings, rng *rand.Rand, now time.Time) *Table {
 	t := &Table{
 		settings:   settings.withDefaults(),
@@ -87,7 +90,7 @@
 	// The sequence starts at the incarnation, so that delayed statuses from before
 	// a restart are older.
 	t.self.statusSeq = self.Incarnation
-	t.self.revision = self.ConfigRevision
+	t.self.configRevision = self.ConfigRevision
 	t.newestRevision = self.ConfigRevision
 	t.add(t.self)
 	return t
@@ -107,18 +110,18 @@
 // configuration revision, which never decreases. Small changes of load wait for
 // StatusRefresh.
 func (t *Table) SetStatus(now time.Time, load float64, revision int64) {
-	revision = max(revision, t.self.revision)
+	revision = max(revision, t.self.configRevision)
 	steps := uint32(math.Round(max(load, 0) * loadSteps))
 	if t.mergeRevision(revision) {
 		t.regions.notifyAll = true
 	}
 	loadDelta := max(steps, t.advertisedLoad) - min(steps, t.advertisedLoad)
-	if loadDelta < minLoadChange && revision == t.self.revision && now.Before(t.nextStatus) {
+	if loadDelta < minLoadChange && revision == t.self.configRevision && now.Before(t.nextStatus) {
 		return
 	}
 	t.advertisedLoad = steps
 	t.self.load = steps
-	t.self.revision = revision
+	t.self.configRevision = revision
 	t.self.statusSeq++
 	t.self.statusTransmits = 0
 	t.nextStatus = now.Add(t.settings.StatusRefresh)
@@ -139,10 +142,10 @@
 }
 
 func (t *Table) setSelfLeaving(now time.Time, leaving bool) {
-	if t.self.wire.Leaving == leaving {
+	if t.self.record.Leaving == leaving {
 		return
 	}
-	t.change(now, t.self, func(m *membershipv1.Member) {
+	t.updateMember(now, t.self, func(m *membershipv1.Member) {
 		m.Incarnation++
 		m.Leaving = leaving
 	})
@@ -154,12 +157,12 @@
 	if t.snapshot != nil && t.snapshotVersion == t.version {
 		return t.snapshot
 	}
-	s := &Snapshot{self: t.self.member(), revision: t.newestRevision, regions: t.regions.view()}
+	s := &Snapshot{self: t.self.member(), newestConfigRevision: t.newestRevision, regions: t.regions.view()}
 	for _, e := range t.list {
-		if e.wire.Liveness == dead {
+		if e.record.Liveness == dead {
 			continue
 		}
-		if !e.wire.Leaving {
+		if !e.record.Leaving {
 			s.serving = append(s.serving, candidate{hash: e.hash, index: len(s.members)})
 		}
 		s.members = append(s.members, e.member())
@@ -169,7 +172,7 @@
 }
 
 func (t *Table) add(e *entry) {
-	t.entries[e.wire.Name] = e
+	t.entries[e.record.Name] = e
 	index, _ := slices.BinarySearchFunc(t.list, e, compareNames)
 	t.list = slices.Insert(t.list, index, e)
 	t.byID[e.id()] = e
@@ -178,7 +181,7 @@
 }
 
 func (t *Table) remove(e *entry) {
-	delete(t.entries, e.wire.Name)
+	delete(t.entries, e.record.Name)
 	index, _ := slices.BinarySearchFunc(t.list, e, compareNames)
 	t.list = slices.Delete(t.list, index, index+1)
 	delete(t.byID, e.id())
@@ -186,13 +189,13 @@
 	t.version++
 }
 
-// change replaces an entry's member with a modified copy and schedules its
+// updateMember replaces an entry's record with a modified copy and schedules its
 // transmission.
-func (t *Table) change(now time.Time, e *entry, edit func(*membershipv1.Member)) {
+func (t *Table) updateMember(now time.Time, e *entry, edit func(*membershipv1.Member)) {
 	t.hash ^= e.digest()
-	next := cloneMember(e.wire)
+	next := cloneMember(e.record)
 	edit(next)
-	e.wire = next
+	e.record = next
 	t.hash ^= e.digest()
 	t.scheduleUpdate(now, e)
 }
@@ -207,7 +210,8 @@
 	return retransmitFactor * t.gossipRounds()
 }
 
-// gossipRounds assumes that the number of informed members doubles in each round.
+// gossipRounds returns the number of rounds in which a change reaches all members if
+// each round doubles the number of members that know it.
 func (t *Table) gossipRounds() int {
 	return int(math.Ceil(math.Log2(float64(len(t.entries) + 1))))
 }
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -17,7 +17,7 @@
 
 func joinedFleet(t testing.TB, n int) *fleet {
 	f := newFleet(t)
-	f.fill("r", n)
+	f.addRegion("r", n)
 	f.runUntil(joinLimit, f.joined(n))
 	return f
 }
@@ -74,14 +74,14 @@
 	name := nodeName("r", 3)
 	f.kill(name)
 	f.runFor(2 * time.Second)
-	back := f.add("r", 3, nodeName("r", 0))
-	back.self.wire.Incarnation = 5 // the clock went back
+	restarted := f.add("r", 3, nodeName("r", 0))
+	restarted.self.record.Incarnation = 5 // the clock went back
 	f.runUntil(joinLimit, f.joined(8))
 	f.runFor(time.Minute)
 	if !f.joined(8)() {
 		t.Error("the restarted member was removed again")
 	}
-	if got := back.self.wire.Incarnation; got <= 5 {
+	if got := restarted.self.record.Incarnation; got <= 5 {
 		t.Errorf("incarnation %d is not above the one before the restart", got)
 	}
 }
@@ -102,8 +102,8 @@
 
 func TestHealedPartitionMerges(t *testing.T) {
 	f := joinedFleet(t, 8)
-	side := func(name string) bool { return name < nodeName("r", 4) }
-	f.blocked = func(from, to string) bool { return side(from) != side(to) }
+	inFirstHalf := func(name string) bool { return name < nodeName("r", 4) }
+	f.blocked = func(from, to string) bool { return inFirstHalf(from) != inFirstHalf(to) }
 	f.runUntil(time.Minute, f.joined(4))
 	f.runFor(2 * time.Minute)
 	f.blocked = func(string, string) bool { return false }
@@ -163,6 +163,7 @@
 func TestReusedAddressDoesNotKeepOldMemberAlive(t *testing.T) {
 	f := joinedFleet(t, 2)
 	name := nodeName("r", 1)
+	// Node 9 replaces node 1 at the same address.
 	replacement := f.add("r", 9)
 	f.kill(nodeName("r", 9))
 	f.tables[name] = replacement
@@ -205,15 +206,15 @@
 }
 
 // TestFirstConfigurationIsKnownWithinASecond guards against a slow start of
-// members: callers are sent to one only once the others know its configuration.
+// members: a member gets requests only once the others know its configuration.
 func TestFirstConfigurationIsKnownWithinASecond(t *testing.T) {
 	f := joinedFleet(t, 3)
 	newest := f.tables[nodeName("r", 1)]
 	newest.SetStatus(f.now, 0, 7)
-	late := f.add("r", 3, nodeName("r", 0))
-	late.self.revision = 0
+	joining := f.add("r", 3, nodeName("r", 0))
+	joining.self.configRevision = 0
 	f.runFor(10 * time.Second)
-	late.SetStatus(f.now, 0, 7)
+	joining.SetStatus(f.now, 0, 7)
 	took := f.runUntil(5*time.Second, func() bool {
 		for _, m := range f.tables[nodeName("r", 0)].Snapshot().Members() {
 			if m.Name == nodeName("r", 3) {
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -22,8 +22,8 @@
 	return calls
 }
 
-// extendAfterPause gives suspects the time in which this process did not run, since
-// their refutations may be unread in the sockets.
+// extendAfterPause extends the deadlines of suspects by the time in which this process
+// did not run, since their refutations may be unread in the sockets.
 func (t *Table) extendAfterPause(now time.Time) {
 	gap := now.Sub(t.lastTick)
 	t.lastTick = now
@@ -32,7 +32,7 @@
 	}
 	t.awareness = maxAwareness
 	for _, e := range t.list {
-		if e.wire.Liveness == suspect {
+		if e.record.Liveness == suspect {
 			e.deadline = e.deadline.Add(gap)
 		}
 	}
@@ -43,10 +43,10 @@
 		if e.deadline.IsZero() || now.Before(e.deadline) {
 			continue
 		}
-		switch e.wire.Liveness {
+		switch e.record.Liveness {
 		case suspect:
-			t.change(now, e, func(m *membershipv1.Member) { m.Liveness = dead })
-			t.setDeadline(now, e)
+			t.updateMember(now, e, func(m *membershipv1.Member) { m.Liveness = dead })
+			t.applyLiveness(now, e)
 		case dead:
 			t.remove(e)
 		}
@@ -58,7 +58,7 @@
 	if now.Before(t.nextStatus) {
 		return
 	}
-	t.SetStatus(now, float64(t.self.load)/loadSteps, t.self.revision)
+	t.SetStatus(now, float64(t.self.load)/loadSteps, t.self.configRevision)
 }
 
 func (t *Table) tickPush(now time.Time) []Call {
@@ -77,7 +77,7 @@
 func (t *Table) tickFullSync(now time.Time) []Call {
 	e, ok := t.entries[t.fullSyncTarget]
 	t.fullSyncTarget = ""
-	if !ok || e.wire.Liveness == dead {
+	if !ok || e.record.Liveness == dead {
 		return nil
 	}
 	call := t.newCall(now, CallFullSync, e)
@@ -99,14 +99,15 @@
 	return []Call{t.newCall(now, CallProbe, e)}
 }
 
-// nextProbeTarget goes through random rounds, so that no member waits for over two.
+// nextProbeTarget returns the next member to probe. Each round has all members once,
+// in random order.
 func (t *Table) nextProbeTarget() *entry {
 	for range 2 {
 		for len(t.probeQueue) > 0 {
 			last := len(t.probeQueue) - 1
 			e, ok := t.entries[t.probeQueue[last]]
 			t.probeQueue = t.probeQueue[:last]
-			if ok && e.wire.Liveness != dead {
+			if ok && e.record.Liveness != dead {
 				return e
 			}
 		}
@@ -118,7 +119,7 @@
 func (t *Table) refillProbeQueue() {
 	for _, e := range t.list {
 		if e != t.self {
-			t.probeQueue = append(t.probeQueue, e.wire.Name)
+			t.probeQueue = append(t.probeQueue, e.record.Name)
 		}
 	}
 	t.rng.Shuffle(len(t.probeQueue), func(i, j int) { t.probeQueue[i], t.probeQueue[j] = t.probeQueue[j], t.probeQueue[i] })
@@ -129,7 +130,7 @@
 func (t *Table) randomMembers(n int, except *entry) []*entry {
 	var eligible []*entry
 	for _, e := range t.list {
-		if e != t.self && e != except && e.wire.Liveness == alive {
+		if e != t.self && e != except && e.record.Liveness == alive {
 			eligible = append(eligible, e)
 		}
 	}
@@ -139,15 +140,15 @@
 
 func (t *Table) newCall(now time.Time, kind CallKind, e *entry) Call {
 	gossip := t.gossip(now, e)
-	gossip.Sender = t.self.wire
+	gossip.Sender = t.self.record
 	return Call{
 		Kind:    kind,
-		Target:  e.wire.Name,
-		Address: e.wire.PeerAddress,
+		Target:  e.record.Name,
+		Address: e.record.PeerAddress,
 		Request: &membershipv1.SyncRequest{
 			Gossip:            gossip,
-			Target:            e.wire.Name,
-			TargetIncarnation: e.wire.Incarnation,
+			Target:            e.record.Name,
+			TargetIncarnation: e.record.Incarnation,
 		},
 	}
 }
--- a/internal/membership/tickseed.go
+++ b/internal/membership/tickseed.go
@@ -6,15 +6,15 @@
 	membershipv1 "galenatrestle/internal/gen/trestle/membership/v1"
 )
 
-// AddSeed adds a peer address from the settings.
+// AddSeed adds a configured peer address as a seed.
 func (t *Table) AddSeed(address string) {
-	if address != t.self.wire.PeerAddress {
+	if address != t.self.record.PeerAddress {
 		t.seeds.addListed("", address)
 	}
 }
 
-// tickSeed calls one seed that is not a member, or several while this node is
-// alone.
+// tickSeed calls one seed that is not a member, or up to pushFanout while this node
+// has no other members.
 func (t *Table) tickSeed(now time.Time) []Call {
 	if now.Before(t.nextSeed) {
 		return nil
@@ -32,7 +32,7 @@
 	var calls []Call
 	for _, s := range due[:min(pushFanout, len(due))] {
 		gossip := t.gossip(now, nil)
-		gossip.Sender = t.self.wire
+		gossip.Sender = t.self.record
 		calls = append(calls, Call{
 			Kind:    CallSeed,
 			Target:  s.name,
@@ -44,11 +44,11 @@
 }
 
 func (t *Table) isMemberSeed(s *seed) bool {
-	if e, ok := t.entries[s.name]; ok && e.wire.Liveness != dead {
+	if e, ok := t.entries[s.name]; ok && e.record.Liveness != dead {
 		return true
 	}
 	for _, e := range t.entries {
-		if e.wire.PeerAddress == s.address && e.wire.Liveness != dead {
+		if e.record.PeerAddress == s.address && e.record.Liveness != dead {
 			return true
 		}
 	}
