--- a/internal/placement/placements.go
+++ b/internal/placement/placements.go
@@ -53,7 +53,7 @@
 }
 
 // relay records another node's placement for announcement during relayTime. Parts that cached
-// shows as used within that time are skipped, as they have been announced before.
+// shows as used within that time are skipped, as they were probably announced already.
 func (p *placements) relay(now time.Time, placed Placement, cached *cache) {
 	for _, part := range placed.Parts {
 		if cached.sinceUsed(now, part) > relayTime {
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -14,7 +14,7 @@
 	// are made at least once a second.
 	outageGap = 2 * time.Second
 	// outageGrace is how long a replica that is missing after an outage is kept. The platform
-	// documents that registrations that expired in an outage return about two seconds after it.
+	// states that registrations that expired in an outage return about two seconds after it.
 	outageGrace = 2 * time.Second
 )
 
