--- a/internal/edge/announcer.go
+++ b/internal/edge/announcer.go
@@ -14,39 +14,36 @@
 )
 
 const (
-	// announceTTL is how long a node that stopped stays announced, renewEvery leaves
-	// two more tries before the lease ends. Both are long, as an entry only says whom
-	// to ask: whether a node lives the nodes find out themselves.
+	// announceTTL is how long the entry of a stopped node remains in the store. An entry is
+	// only a candidate peer; the nodes check liveness themselves.
 	announceTTL = 30 * time.Second
-	renewEvery  = 8 * time.Second
-	// listEvery is how often the announced nodes are read. The nodes tell each
-	// other of themselves; this finds those that nobody has met yet. With both at
-	// 3 s, a fleet of 88 nodes spent a fifth of its calls of the store on them.
-	listEvery = 8 * time.Second
-	// listMember is the pace of a node that has a hub: the hubs meet the nodes that
-	// are new, and tell of them.
-	listMember = time.Minute
-	// listEarly is the pace until another node is known, listFew that while fewer than
-	// fewNodes are.
-	listEarly = 500 * time.Millisecond
-	listFew   = 3 * time.Second
-	fewNodes  = 4
-	// settleFor is the time from its start in which a node leaves it to the seeds to be
-	// found by others: by then a node that a seed answers knows its role, and most
-	// nodes of a large fleet need not be announced. Where each of 295 nodes announced
-	// itself and read the list of all, a start took 8 calls of the store a node.
-	settleFor = 2 * time.Second
-	// announcerTick is how often the announcer looks at what is due.
+	// renewInterval allows two more attempts before the lease expires.
+	renewInterval = 8 * time.Second
+	// defaultListInterval is the interval between listings of the announced nodes. Nodes
+	// also learn of each other by exchange; the listing finds those not yet in contact.
+	defaultListInterval = 8 * time.Second
+	// memberListInterval is longer, since a member learns of new nodes from its hub.
+	memberListInterval = time.Minute
+	// aloneListInterval applies while no other node is known, smallFleetListInterval while
+	// fewer than smallFleetSize are.
+	aloneListInterval      = 500 * time.Millisecond
+	smallFleetListInterval = 3 * time.Second
+	smallFleetSize         = 4
+	// settlePeriod is the time after the start in which only seeds announce themselves. By
+	// its end a node that reached a seed knows its role, and most nodes of a large fleet
+	// need no announcement.
+	settlePeriod = 2 * time.Second
+	// announcerTick is the interval at which the announcer checks what is due.
 	announcerTick = 500 * time.Millisecond
 )
 
-// announcer makes the node known in the platform's store, where others need it to
-// meet the fleet, and finds others there.
+// announcer registers the node in the platform's store, if others need it to join the
+// fleet, and discovers other nodes there.
 type announcer struct {
 	store Store
 	self  func() nodesync.Node
-	// role is the node's part in spreading news; isSeed says whether others are to
-	// find it by their settings.
+	// role is the node's role in the exchange between nodes; isSeed is set if the node is
+	// in the seed list of the settings.
 	role    func() nodesync.Role
 	isSeed  bool
 	nodes   *nodesync.Nodes
@@ -54,60 +51,59 @@
 	log     *eventlog.Log
 	metrics *metrics
 	rand    *rand.Rand
-	// lease is zero where none is held.
+	// lease is zero if the node has none.
 	lease int64
-	// settledAt is the end of settleFor, renewAt when the lease is to be renewed or
-	// taken, listAt when the announced nodes are to be read.
+	// settledAt is the end of settlePeriod, renewAt when to renew or grant the lease, listAt
+	// when to list the announced nodes.
 	settledAt, renewAt, listAt boottime.Instant
-	// watch notices a lost store for a node that learns all else from others.
-	watch storeWatch
+	// watch detects a store outage on a node that gets all its copies from others.
+	watch outageLogger
 }
 
-// run renews and lists until ctx ends.
+// run renews the lease and lists nodes until ctx ends.
 func (a *announcer) run(ctx context.Context) {
 	now := a.clock()
-	a.settledAt = now.Add(settleFor)
+	a.settledAt = now.Add(settlePeriod)
 	if !a.isSeed {
-		// The seeds may answer meanwhile.
-		a.listAt = now.Add(listEarly)
+		// Gives the seeds time to answer first.
+		a.listAt = now.Add(aloneListInterval)
 	}
-	a.watch = storeWatch{what: "nodes", log: a.log}
+	a.watch = outageLogger{what: "nodes", log: a.log}
 	for {
-		a.round(ctx)
+		a.tick(ctx)
 		if ctxtime.Sleep(ctx, announcerTick) != nil {
 			return
 		}
 	}
 }
 
-// round makes the calls that are due.
-func (a *announcer) round(ctx context.Context) {
+// tick makes the calls that are due.
+func (a *announcer) tick(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	if now := a.clock(); now >= a.renewAt && a.mustBeFound(now) {
-		a.renewAt = now.Add(renewEvery)
+	if now := a.clock(); now >= a.renewAt && a.shouldAnnounce(now) {
+		a.renewAt = now.Add(renewInterval)
 		err := a.announce(limited)
-		a.metrics.read("announcement", err)
+		a.metrics.countRead("announcement", err)
 		if err != nil && ctx.Err() == nil {
 			a.log.Error("announce node", err)
-			a.renewAt = now.Add(a.listPause())
+			a.renewAt = now.Add(a.nextListInterval())
 		}
 	}
 	if now := a.clock(); now >= a.listAt {
 		err := a.list(limited)
-		a.metrics.read("nodes", err)
+		a.metrics.countRead("nodes", err)
 		if ctx.Err() == nil {
-			a.watch.note(err)
+			a.watch.observe(err)
 		}
-		pause := a.listPause()
+		pause := a.nextListInterval()
 		a.listAt = a.clock().Add(pause + time.Duration(a.rand.Int64N(int64(pause/4))))
 	}
 }
 
-// mustBeFound says whether the store has to tell of the node: a node that starts needs
-// some that answer, and these are the seeds and the hubs, or all nodes of a small
-// fleet.
-func (a *announcer) mustBeFound(now boottime.Instant) bool {
+// shouldAnnounce reports whether the node needs an entry in the store. Starting nodes
+// join through seeds and hubs, or through any node of a small fleet.
+func (a *announcer) shouldAnnounce(now boottime.Instant) bool {
 	switch role := a.role(); {
 	case a.isSeed:
 		return true
@@ -118,21 +114,21 @@
 	}
 }
 
-// listPause is the time until the next listing.
-func (a *announcer) listPause() time.Duration {
+// nextListInterval returns the time until the next listing, without jitter.
+func (a *announcer) nextListInterval() time.Duration {
 	switch others := a.nodes.AliveCount(a.clock()); {
 	case others == 0:
-		return listEarly
-	case others < fewNodes:
-		return listFew
+		return aloneListInterval
+	case others < smallFleetSize:
+		return smallFleetListInterval
 	case a.role() == nodesync.Member:
-		return listMember
+		return memberListInterval
 	default:
-		return listEvery
+		return defaultListInterval
 	}
 }
 
-// announce renews the lease, or takes a new one and writes the node's entry.
+// announce renews the lease, or grants a new one and writes the node's entry.
 func (a *announcer) announce(ctx context.Context) error {
 	if a.lease != 0 {
 		err := a.store.Renew(ctx, a.lease)
@@ -151,8 +147,8 @@
 	return nil
 }
 
-// list takes in the announced nodes as candidates to ask. An entry says nothing
-// about whether the node is still there.
+// list adds the announced nodes as candidate peers. An entry does not prove that the
+// node is alive.
 func (a *announcer) list(ctx context.Context) error {
 	nodes, err := a.store.Nodes(ctx)
 	if err != nil {
--- a/internal/edge/announcer_test.go
+++ b/internal/edge/announcer_test.go
@@ -19,16 +19,16 @@
 	"galenatrestle/internal/routesource"
 )
 
-// runAnnouncer has a node's announcer work for a while; others are the nodes that it
-// has heard of by then. It returns the store and its calls.
-func runAnnouncer(t *testing.T, role nodesync.Role, isSeed bool, others int, span time.Duration) (*storeStandIn, int) {
-	store := &storeStandIn{nodes: make(map[string]nodesync.Node), kv: dutytest.NewStore(1)}
+// runAnnouncer runs an announcer for the span; others is the number of nodes it knows. It
+// returns the store and the number of calls to it.
+func runAnnouncer(t *testing.T, role nodesync.Role, isSeed bool, others int, span time.Duration) (*fakeStore, int) {
+	store := &fakeStore{nodes: make(map[string]nodesync.Node), kv: dutytest.NewStore(1)}
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		clock := func() boottime.Instant { return boottime.Instant(time.Since(began)) + 1 }
 		nodes := nodesync.NewNodes("self", nil)
 		a := &announcer{
-			store: seenBy{store, "self"}, self: func() nodesync.Node { return nodesync.Node{Name: "self"} },
+			store: nodeStore{store, "self"}, self: func() nodesync.Node { return nodesync.Node{Name: "self"} },
 			role: func() nodesync.Role { return role }, isSeed: isSeed, nodes: nodes,
 			clock: clock, log: eventlog.New(io.Discard, "self"), rand: rand.New(rand.NewPCG(1, 1)),
 		}
@@ -43,9 +43,9 @@
 	return store, store.reads
 }
 
-// TestOnlyNodesThatOthersNeedAreAnnounced counts the calls of a node's first minute:
-// a fleet of hundreds starts at once.
-func TestOnlyNodesThatOthersNeedAreAnnounced(t *testing.T) {
+// TestOnlySeedsHubsAndSmallFleetsAreAnnounced guards against overloading the store when
+// hundreds of nodes start at once.
+func TestOnlySeedsHubsAndSmallFleetsAreAnnounced(t *testing.T) {
 	cases := []struct {
 		name      string
 		role      nodesync.Role
@@ -58,7 +58,7 @@
 		{"a member that is a seed", nodesync.Member, true, 294, true, 5},
 		{"a hub", nodesync.PrimaryHub, false, 294, true, 12},
 		{"a node of a small fleet", nodesync.Peer, false, 6, true, 12},
-		{"a node that meets nobody", nodesync.Peer, false, 0, true, 130},
+		{"a node without peers", nodesync.Peer, false, 0, true, 130},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -73,10 +73,10 @@
 	}
 }
 
-// TestANodeThatMeetsNobodyIsAnnouncedSoon: its seeds may be gone for long.
-func TestANodeThatMeetsNobodyIsAnnouncedSoon(t *testing.T) {
-	store, _ := runAnnouncer(t, nodesync.Peer, false, 0, settleFor+time.Second)
+// TestNodeWithoutPeersIsAnnounced guards against a fleet that cannot form without seeds.
+func TestNodeWithoutPeersIsAnnounced(t *testing.T) {
+	store, _ := runAnnouncer(t, nodesync.Peer, false, 0, settlePeriod+time.Second)
 	if len(store.nodes) != 1 {
-		t.Error("a node that knows nobody is not announced")
+		t.Error("a node without peers is not announced")
 	}
 }
--- a/internal/edge/doc.go
+++ b/internal/edge/doc.go
@@ -1,8 +1,8 @@
-// Package edge puts a node together that serves callers by pass-through routes:
-// the entry listener, the answers to which addresses callers use, the readers
-// of the platform's store, and the exchange with the other nodes.
+// Package edge runs a node that serves pass-through routes: the entry listener, the
+// readiness and resolve endpoints, the readers of the platform's store, and the
+// exchange with the other nodes.
 //
-// What must last lives in the platform's store; everything here is a copy or
-// soft state. In an outage of the store a node serves with what it knows, until
-// the proof that no key was revoked since has grown too old.
+// Durable data lives in the platform's store; everything here is a copy or soft state.
+// During a store outage a node serves from its copies until the last proof that no key
+// has been revoked exceeds its maximum age.
 package edge
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -17,35 +17,36 @@
 	"galenatrestle/internal/usage"
 )
 
-// DutyPlatform takes the calls that one node makes for all.
+// DutyPlatform receives the platform calls that one node makes on behalf of the fleet.
 type DutyPlatform interface {
 	usage.Platform
 	autoscale.Platform
 }
 
-// duties is a node's part in what one node at a time does for the whole fleet.
+// duties is a node's part in the work that one elected node does for the whole fleet.
 type duties struct {
 	node *Node
-	// time is the fleet's time of day.
+	// time is the fleet-wide wall clock.
 	time   *fleettime.Clock
 	meter  *usage.Meter
 	counts *usage.Service
 	holder *duty.Holder
-	// random is drawn from by the holder's goroutine alone.
+	// random is used only by the holder's goroutine.
 	random *rand.Rand
 }
 
 const (
-	// dutiesKey is the store's key that names the holder.
+	// dutiesKey is the store key that identifies the current holder.
 	dutiesKey = "trestle/duties/holder"
-	// firstContenders is the number of nodes that try for free duties at once: two, for
-	// one may not reach the store.
-	firstContenders = 2
-	// gatherSlack is how long after a window's end its counts are asked for at least.
-	gatherSlack = 2 * time.Second
+	// preferredContenders is the number of nodes that always contend for free duties: two,
+	// in case one cannot reach the store.
+	preferredContenders = 2
+	// gatherMargin is the least time for which a node is still queried for its counts after
+	// a window ends.
+	gatherMargin = 2 * time.Second
 )
 
-// newDuties returns the node's part, or nil where the deployment has no duties.
+// newDuties returns nil if the deployment has no duties.
 func newDuties(n *Node) *duties {
 	s := n.options.Settings.PassThrough.Duties
 	if s == nil || n.options.Duties == nil {
@@ -57,24 +58,25 @@
 		random: rand.New(rand.NewPCG(n.options.Seed, 6)),
 	}
 	d.meter = usage.NewMeter(s.UsageWindow.Std(), d.time.Now)
-	d.counts = usage.NewService(d.process(), d.meter)
+	d.counts = usage.NewService(d.processID(), d.meter)
 	return d
 }
 
-// process names this run of the process.
-func (d *duties) process() string {
+// processID identifies this run of the process.
+func (d *duties) processID() string {
 	return fmt.Sprintf("%s/%x", d.node.options.Settings.Name, d.node.options.Seed)
 }
 
-// began counts a request that began to run; nil where nothing is counted.
-func (d *duties) began() func(workspace string) {
+// requestCounter returns the function that counts a started request, or nil if metering is
+// off.
+func (d *duties) requestCounter() func(workspace string) {
 	if d == nil || !d.node.options.Settings.PassThrough.Duties.Has(settings.Metering) {
 		return nil
 	}
 	return d.meter.Began
 }
 
-// clock is the fleet's time of day, where there is one.
+// clock returns the fleet-wide wall clock, or nil without duties.
 func (d *duties) clock() *fleettime.Clock {
 	if d == nil {
 		return nil
@@ -82,7 +84,7 @@
 	return d.time
 }
 
-// fence is the token of the duties that this node holds.
+// fence returns the fencing token of the duties, or 0 if this node does not hold them.
 func (d *duties) fence() int64 {
 	if d == nil || d.holder == nil {
 		return 0
@@ -90,8 +92,8 @@
 	return d.holder.Fence()
 }
 
-// link puts together what the node does as the holder, and mounts what others ask it.
-func (d *duties) link() error {
+// setUp creates the holder with its work and mounts the handler for other nodes' queries.
+func (d *duties) setUp() error {
 	if d == nil {
 		return nil
 	}
@@ -101,7 +103,7 @@
 	if s.Has(settings.Metering) {
 		works = append(works, usage.NewReporter(usage.ReporterOptions{
 			Store: n.options.Store, Platform: n.options.Duties,
-			Gather: usage.NewGatherer(d.counts, n.clients, d.countingNodes).Gather,
+			Gather: usage.NewGatherer(d.counts, n.clients, d.meteringPeers).Gather,
 			Length: s.UsageWindow.Std(), Delay: s.UsageDelay.Std(),
 			Now: d.time.Now, Clock: n.options.Clock, Log: n.log, Metrics: usage.NewMetrics(n.registry),
 		}))
@@ -114,25 +116,25 @@
 		}))
 	}
 	holder, err := duty.NewHolder(duty.Options{
-		Store: n.options.Store, Key: dutiesKey, Node: n.options.Settings.Name, Process: d.process(),
-		TTL: s.Lease.Std(), Contends: d.contends, Works: works,
+		Store: n.options.Store, Key: dutiesKey, Node: n.options.Settings.Name, Process: d.processID(),
+		TTL: s.Lease.Std(), Contends: d.shouldContend, Works: works,
 		Clock: n.options.Clock, Rand: rand.New(rand.NewPCG(n.options.Seed, 7)), Log: n.log, Registry: n.registry,
 	})
 	d.holder = holder
 	return err
 }
 
-// run tries for the duties until ctx ends.
+// run contends for the duties and performs them until ctx ends.
 func (d *duties) run(ctx context.Context) {
 	if d != nil {
 		d.holder.Run(ctx)
 	}
 }
 
-// contends says whether this node tries for the duties if they are free: the first of
-// those that read the store for others, and now and then one of the others, since the
-// first ones may be cut off from the store. While a holder is heard of nobody asks.
-func (d *duties) contends() bool {
+// shouldContend reports whether this node tries to acquire free duties. The first nodes in
+// the order of store readers always do, others at random, since the first ones may be
+// cut off from the store. No node does while a holder is known.
+func (d *duties) shouldContend() bool {
 	n := d.node
 	now := n.options.Clock()
 	if n.leaving.Load() || n.routes.Get().Table == nil || n.nodes.HasDutyHolder(now) {
@@ -140,20 +142,20 @@
 	}
 	switch n.sync.Role() {
 	case nodesync.Peer, nodesync.PrimaryHub:
-		if n.sync.StoreReaderIndex() < firstContenders {
+		if n.sync.StoreReaderIndex() < preferredContenders {
 			return true
 		}
 	}
 	return d.random.IntN(1+n.nodes.AliveCount(now)) == 0
 }
 
-// countingNodes are the peer addresses of the nodes that may have counted in a window that
-// is open or has just ended. One that fell silent may be cut off only and serve callers
-// until its proof of their keys is too old; a report that waited for one that is gone for
-// longer would be late for nothing.
-func (d *duties) countingNodes() []string {
+// meteringPeers returns the peer addresses of the nodes that may have counted requests in
+// a window that is open or has just ended. A node that fell silent may only be
+// partitioned and serve until its proof of the keys expires; waiting longer for it would
+// delay the report needlessly.
+func (d *duties) meteringPeers() []string {
 	s := d.node.options.Settings.PassThrough
-	counts := s.RevokeAfter.Std() + s.Duties.UsageWindow.Std() + gatherSlack
+	counts := s.RevokeAfter.Std() + s.Duties.UsageWindow.Std() + gatherMargin
 	var addresses []string
 	for _, node := range d.node.nodes.SeenWithin(counts, d.node.options.Clock()) {
 		addresses = append(addresses, node.PeerAddress)
@@ -161,7 +163,7 @@
 	return addresses
 }
 
-// observe tells of the upstreams whose replicas may be ordered.
+// observe returns the state of the upstreams that have scaling configured.
 func (d *duties) observe() []autoscale.Observation {
 	n := d.node
 	snapshot := n.routes.Get()
@@ -186,12 +188,12 @@
 	}
 	replicas := d.node.replicas.ForUpstream(u.Name)
 	for _, name := range u.Scaling.Zones() {
-		o.Zones = append(o.Zones, autoscale.CountZone(name, ofZone(replicas, name)))
+		o.Zones = append(o.Zones, autoscale.CountZone(name, inZone(replicas, name)))
 	}
 	return o
 }
 
-func ofZone(replicas []replica.Replica, zone string) []replica.Replica {
+func inZone(replicas []replica.Replica, zone string) []replica.Replica {
 	var list []replica.Replica
 	for _, r := range replicas {
 		if r.AvailabilityZone == zone {
--- a/internal/edge/duties_test.go
+++ b/internal/edge/duties_test.go
@@ -12,21 +12,21 @@
 	"galenatrestle/internal/usage"
 )
 
-// dutyStandIn takes the duties' calls.
-type dutyStandIn struct{ judge *dutytest.Judge }
+// fakeDutyPlatform receives the platform calls of the duties.
+type fakeDutyPlatform struct{ judge *dutytest.Judge }
 
 // Report implements usage.Platform.
-func (s dutyStandIn) Report(_ context.Context, term duty.Term, r usage.Report) error {
+func (s fakeDutyPlatform) Report(_ context.Context, term duty.Term, r usage.Report) error {
 	return s.judge.Report(term, r.Window, r.Requests)
 }
 
 // Order implements autoscale.Platform.
-func (s dutyStandIn) Order(_ context.Context, term duty.Term, o autoscale.Order) error {
+func (s fakeDutyPlatform) Order(_ context.Context, term duty.Term, o autoscale.Order) error {
 	return s.judge.Take(term, fmt.Sprint(o.Pool, o.Replicas), func() {})
 }
 
-// reported is what the platform was told that the workspace used.
-func (s dutyStandIn) reported(workspace string) int64 {
+// reported returns the number of requests reported for the workspace.
+func (s fakeDutyPlatform) reported(workspace string) int64 {
 	var sum int64
 	for _, counts := range s.judge.Reports() {
 		sum += counts[workspace]
@@ -34,7 +34,7 @@
 	return sum
 }
 
-func TestOneNodeTellsThePlatformWhatAllServed(t *testing.T) {
+func TestUsageOfAllNodesIsReportedOnce(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.allServe()
@@ -45,7 +45,7 @@
 			if status := d.status(n, "first"); status != http.StatusOK {
 				t.Fatalf("status %d", status)
 			}
-			// A request without a known key does not run.
+			// A request with an unknown key is rejected and not counted.
 			d.status(n, "other")
 		}
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestAStoppingNodeHandsTheDutiesOn(t *testing.T) {
+func TestStoppingNodeReleasesDuties(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.allServe()
--- a/internal/edge/events.go
+++ b/internal/edge/events.go
@@ -7,14 +7,14 @@
 	"galenatrestle/internal/replica"
 )
 
-// storeChanged tells that reads of the store began to fail, or work again.
-type storeChanged struct {
+// storeAvailabilityChanged reports that reads of the store started to fail, or recovered.
+type storeAvailabilityChanged struct {
 	what string
 	err  error
 }
 
 // Name implements eventlog.Event.
-func (e *storeChanged) Name() string {
+func (e *storeAvailabilityChanged) Name() string {
 	if e.err != nil {
 		return "store_lost"
 	}
@@ -22,10 +22,10 @@
 }
 
 // Level implements eventlog.Event.
-func (*storeChanged) Level() eventlog.Level { return eventlog.Notable }
+func (*storeAvailabilityChanged) Level() eventlog.Level { return eventlog.Notable }
 
 // Fields implements eventlog.Event.
-func (e *storeChanged) Fields() eventlog.Fields {
+func (e *storeAvailabilityChanged) Fields() eventlog.Fields {
 	fields := eventlog.Fields{"read": e.what}
 	if e.err != nil {
 		fields["error"] = e.err.Error()
@@ -33,23 +33,23 @@
 	return fields
 }
 
-// storeWatch tells in the log when the reads of one record begin to fail, and when they
-// work again. It is for one goroutine.
-type storeWatch struct {
+// outageLogger logs when reads of one record start to fail and when they recover. It is
+// not safe for concurrent use.
+type outageLogger struct {
 	what string
 	log  *eventlog.Log
 	lost bool
 }
 
-// note takes in how a read ended.
-func (w *storeWatch) note(err error) {
+// observe records the result of a read and logs a change.
+func (w *outageLogger) observe(err error) {
 	if lost := err != nil; lost != w.lost {
 		w.lost = lost
-		w.log.Write(&storeChanged{what: w.what, err: err})
+		w.log.Write(&storeAvailabilityChanged{what: w.what, err: err})
 	}
 }
 
-// replicaChanged tells what is believed of a replica from now on.
+// replicaChanged reports a change in the known state of a replica.
 type replicaChanged struct {
 	change   replica.Change
 	revision int64
@@ -71,7 +71,7 @@
 	}
 }
 
-// lifecycle tells of the process's own start, readiness, reload and stop.
+// lifecycle reports a start, reload or stop of the process.
 type lifecycle struct {
 	name   string
 	fields eventlog.Fields
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -11,28 +11,27 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's headers.
+	// headerTimeout bounds reading a request's headers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is how long a caller's connection may be idle: longer than
-	// any configuration lets callers use one.
-	idleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds a request's headers.
+	// idleTimeout closes idle client connections. It is longer than any configuration lets
+	// callers reuse one.
+	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
 )
 
-// listen opens all listeners, so that an address in use is told at the start.
+// listen opens all listeners, so that an address in use fails the start.
 func (n *Node) listen() error {
 	s := n.options.Settings
-	answers := n.questions()
+	answers := n.discoveryHandler()
 	listeners := []struct {
 		field, address string
 		serve          func(net.Listener) error
 	}{
-		{"listen", s.Listen, serveWith(n.handler)},
+		{"listen", s.Listen, serveFunc(n.handler)},
 		{"peer_listen", s.PeerListen, n.peers.Serve},
-		{"ops_listen", s.OpsListen, serveWith(n.opsHandler())},
-		{"pass_through.ready_listen", s.PassThrough.ReadyListen, serveWith(answers)},
-		{"pass_through.resolve_listen", s.PassThrough.ResolveListen, serveWith(answers)},
+		{"ops_listen", s.OpsListen, serveFunc(n.opsHandler())},
+		{"pass_through.ready_listen", s.PassThrough.ReadyListen, serveFunc(answers)},
+		{"pass_through.resolve_listen", s.PassThrough.ResolveListen, serveFunc(answers)},
 	}
 	opened := make(map[string]bool)
 	for _, l := range listeners {
@@ -46,21 +45,20 @@
 		}
 		n.servers = append(n.servers, &server{field: l.field, listener: listener, serve: l.serve})
 	}
-	n.entryAddress = n.advertised(s.Advertise.Entry, "listen")
-	n.peerAddress = n.advertised(s.Advertise.Peer, "peer_listen")
+	n.entryAddress = n.advertisedAddress(s.Advertise.Entry, "listen")
+	n.peerAddress = n.advertisedAddress(s.Advertise.Peer, "peer_listen")
 	return nil
 }
 
-// advertised is the address that others are told: the one of the settings, or
-// where that leaves the port to the system, the listener's.
-func (n *Node) advertised(address, field string) string {
+// advertisedAddress returns the configured address, or the listener's if its port is 0.
+func (n *Node) advertisedAddress(address, field string) string {
 	if !strings.HasSuffix(address, ":0") {
 		return address
 	}
 	return n.address(field)
 }
 
-// address is where the listener of the settings' field is; empty for none.
+// address returns the address of the listener for a settings field, or "" if there is none.
 func (n *Node) address(field string) string {
 	for _, s := range n.servers {
 		if s.field == field {
@@ -70,7 +68,7 @@
 	return ""
 }
 
-func serveWith(handler http.Handler) func(net.Listener) error {
+func serveFunc(handler http.Handler) func(net.Listener) error {
 	s := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	return s.Serve
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -9,7 +9,7 @@
 	"galenatrestle/internal/routesource"
 )
 
-// metrics tell of the copies of the platform's records.
+// metrics covers the node's copies of the platform's records.
 type metrics struct {
 	reads *prometheus.CounterVec
 }
@@ -38,7 +38,7 @@
 	return m
 }
 
-func (m *metrics) read(what string, err error) {
+func (m *metrics) countRead(what string, err error) {
 	result := "ok"
 	if err != nil {
 		result = "failed"
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -6,8 +6,8 @@
 	"galenatrestle/internal/metricstest"
 )
 
-// TestEveryMetricIsOnThePage compares what a node registers with the page, in
-// both directions.
+// TestEveryMetricIsOnThePage compares the registered and the documented metrics in both
+// directions.
 func TestEveryMetricIsOnThePage(t *testing.T) {
 	d := newDeployment(t)
 	metricstest.ComparePage(t, d.nodes[0].registry, "../../docs/operators/pass-through-metrics.md")
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -30,7 +30,7 @@
 	"galenatrestle/internal/settings"
 )
 
-// Node is one edge VM's process.
+// Node is the process on one edge VM.
 type Node struct {
 	options   Options
 	log       *eventlog.Log
@@ -50,23 +50,23 @@
 	peers     *peer.Server
 	duties    *duties
 	servers   []*server
-	// entryAddress and peerAddress are what others are told.
+	// entryAddress and peerAddress are the advertised addresses.
 	entryAddress string
 	peerAddress  string
 	leaving      atomic.Bool
 	tasks        sync.WaitGroup
-	// settings are those in force; options.Settings are those of the start.
+	// settings are the current ones; options.Settings are those at the start.
 	settings atomic.Pointer[settings.Settings]
 }
 
-// server is one HTTP listener.
+// server is one listener with its serve function.
 type server struct {
 	field    string
 	listener net.Listener
 	serve    func(net.Listener) error
 }
 
-// New opens the listeners and puts the node together; Run serves.
+// New creates the node and opens its listeners; Run serves.
 func New(options Options) (*Node, error) {
 	s := options.Settings
 	random := rand.New(rand.NewPCG(options.Seed, 1))
@@ -92,7 +92,7 @@
 	n.handler = n.newHandler(tracker)
 	isSeed := slices.Contains(s.Peers.Seeds, s.Advertise.Peer) || slices.Contains(s.Peers.Seeds, s.PeerListen)
 	n.reader = &reader{
-		store: options.Store, routes: n.routes, replicas: n.replicas, listed: n.listed,
+		store: options.Store, routes: n.routes, replicas: n.replicas, onReplicaChanges: n.onReplicaChanges,
 		role: n.sync.Role, turn: n.sync.StoreReaderIndex, clock: options.Clock, log: n.log,
 		firstReadAt: n.firstReadAt(isSeed),
 		applyWithin: func() time.Duration { return n.settings.Load().PassThrough.ApplyWithin.Std() },
@@ -104,7 +104,7 @@
 		nodes: n.nodes, clock: options.Clock, log: n.log, metrics: n.reader.metrics,
 		rand: rand.New(rand.NewPCG(options.Seed, 2)),
 	}
-	if err := n.linkPeers(); err != nil {
+	if err := n.setUpPeers(); err != nil {
 		return nil, err
 	}
 	if err := n.listen(); err != nil {
@@ -113,62 +113,61 @@
 	return n, nil
 }
 
-// firstReadWait is how long at a fleet's first start the nodes leave it to the seeds to
-// read the store. Nobody is served yet, and the first configuration may not be there:
-// each of 295 nodes made eight calls of the store before the first caller came.
-const firstReadWait = 3 * time.Second
+// firstReadDelay is how long nodes other than seeds wait before they read the store at a
+// fleet's first start. There is no traffic yet and the configuration may be missing, so
+// reads by every node would only load the store.
+const firstReadDelay = 3 * time.Second
 
-// firstReadAt is when the node may read the store though it knows nothing.
+// firstReadAt returns when the node may read records that it has no copy of; zero means
+// at once.
 func (n *Node) firstReadAt(isSeed bool) boottime.Instant {
 	if !n.options.Settings.PassThrough.FirstStart || isSeed {
 		return 0
 	}
-	return n.options.Clock().Add(firstReadWait)
+	return n.options.Clock().Add(firstReadDelay)
 }
 
-// newSync returns the exchange with the other nodes, which carries the tracker's
+// newSync returns the exchange with the other nodes, which also carries the tracker's
 // records.
 func (n *Node) newSync(tracker *quarantine.Tracker) *nodesync.Sync {
 	return nodesync.New(nodesync.Options{
-		Self: n.self, Nodes: n.nodes, Routes: n.routes, Replicas: n.replicas, OnReplicaChanges: n.listed,
-		Placer: n.placer, Tracker: tracker, RateLimitTable: n.rates.limits, IdleRoundInterval: n.idleTicks, SumsMaxAge: nodesync.DefaultSumsMaxAge, Clock: n.options.Clock,
+		Self: n.self, Nodes: n.nodes, Routes: n.routes, Replicas: n.replicas, OnReplicaChanges: n.onReplicaChanges,
+		Placer: n.placer, Tracker: tracker, RateLimitTable: n.rates.limits, IdleRoundInterval: n.idleRoundInterval, SumsMaxAge: nodesync.DefaultSumsMaxAge, Clock: n.options.Clock,
 		FleetTime: n.duties.clock(), Rand: rand.New(rand.NewPCG(n.options.Seed, 3)), Log: n.log,
 	})
 }
 
 const (
-	// changePerTick is the part of the time within which a change must be known that each
-	// tick between two rounds of an idle node may take: copies at the hubs are up to
-	// 1.3 s old where that time is 4 s, and the idle node's 0.9 s older.
-	changePerTick = time.Second
-	// mostIdleTicks keeps an idle node's last sign below the time for which it counts as
-	// alive.
-	mostIdleTicks = 4
+	// boundPerIdleRound is the part of the propagation bound that adds one tick to an idle
+	// node's round interval. The rest allows for the age of the copies at the hubs.
+	boundPerIdleRound = time.Second
+	// maxIdleRoundInterval keeps an idle node from being considered dead.
+	maxIdleRoundInterval = 4
 )
 
-// idleTicks is the number of rounds of which the node makes one while it serves nobody.
-func (n *Node) idleTicks() int {
+// idleRoundInterval returns the number of ticks between rounds while the node is idle.
+func (n *Node) idleRoundInterval() int {
 	p := n.settings.Load().PassThrough
-	return min(int(min(p.ApplyWithin.Std(), p.LeaveWithin.Std())/changePerTick), mostIdleTicks)
+	return min(int(min(p.ApplyWithin.Std(), p.LeaveWithin.Std())/boundPerIdleRound), maxIdleRoundInterval)
 }
 
-// newHandler returns the callers' side.
+// newHandler returns the handler for callers' requests.
 func (n *Node) newHandler(tracker *quarantine.Tracker) *passthrough.Handler {
 	probe := func(ctx context.Context, r replica.Replica) error { return n.conns.Probe(ctx, r.ID, r.Address) }
 	forwarder := forward.New(forward.Options{
 		Placer: n.placer, Replicas: n.replicas, Conns: n.conns, Codec: n.options.Codec,
 		Budget: n.budget, CrashGuard: forward.NewCrashGuard(tracker, probe, n.log), RateLimits: n.rates.limits, Permits: n.rates.permits, Log: n.log, Registry: n.registry,
-		OnRun: n.duties.began(),
+		OnRun: n.duties.requestCounter(),
 	})
 	return passthrough.New(passthrough.Options{
 		Routes: n.routes, Forwarder: forwarder, Codec: n.options.Codec, Clock: n.options.Clock,
 		Random: rand.Float64, Bounds: n.bounds,
-		NodeCount: n.shareOf, Log: n.log, Registry: n.registry,
+		NodeCount: n.assumedNodeCount, Log: n.log, Registry: n.registry,
 	})
 }
 
-// linkPeers sets up the link to the other nodes.
-func (n *Node) linkPeers() error {
+// setUpPeers creates the clients and the server for the other nodes.
+func (n *Node) setUpPeers() error {
 	keys, err := peer.NewKeys(peer.KeyFiles{
 		Certificate: n.options.Settings.TLS.CertificateFile,
 		Key:         n.options.Settings.TLS.KeyFile,
@@ -181,14 +180,14 @@
 	n.sync.SetClients(n.clients)
 	n.peers = peer.NewServer(keys, n.registry)
 	n.peers.Mount(n.sync.Handler())
-	n.rates.link()
-	return n.duties.link()
+	n.rates.setUp()
+	return n.duties.setUp()
 }
 
-// peerDialTimeout bounds connecting to another node, a few milliseconds away.
+// peerDialTimeout bounds connecting to another node.
 const peerDialTimeout = 300 * time.Millisecond
 
-// self is what this node tells of itself.
+// self returns the node's state as sent to other nodes.
 func (n *Node) self() nodesync.Node {
 	s := n.options.Settings
 	return nodesync.Node{
@@ -200,22 +199,22 @@
 }
 
 const (
-	// leastNodes is the number of nodes that share a bound as long as few are
-	// known: a node that has just started knows nobody.
-	leastNodes = 8
-	// sparePart is what may be added to the known nodes before the others know.
-	sparePart = 4
+	// minAssumedNodes applies while few nodes are known, as just after a start.
+	minAssumedNodes = 8
+	// marginDivisor adds 1/marginDivisor to the known nodes, for nodes that have joined but
+	// are not known everywhere yet.
+	marginDivisor = 4
 )
 
-// shareOf is the number of nodes by which shared bounds are divided.
-func (n *Node) shareOf() int {
+// assumedNodeCount returns the number of nodes among which fleet-wide limits are divided.
+func (n *Node) assumedNodeCount() int {
 	known := n.nodes.KnownCount(n.options.Clock())
-	return max(known+known/sparePart, leastNodes)
+	return max(known+known/marginDivisor, minAssumedNodes)
 }
 
-// listed logs what changed among the replicas, and drops the connections to
-// those that are gone.
-func (n *Node) listed(changes []replica.Change) {
+// onReplicaChanges logs the changes and drops the state and connections of removed
+// replicas.
+func (n *Node) onReplicaChanges(changes []replica.Change) {
 	if len(changes) == 0 {
 		return
 	}
@@ -238,7 +237,8 @@
 	return func(string) { opened.Inc() }
 }
 
-// Run serves until ctx ends, then stops gracefully within the grace time.
+// Run serves until ctx ends, then stops gracefully within the grace time. It returns an
+// error if a listener fails.
 func (n *Node) Run(ctx context.Context) error {
 	logged := make(chan struct{})
 	var logger sync.WaitGroup
@@ -250,7 +250,7 @@
 	defer cancel()
 	n.log.Write(&lifecycle{name: "start", fields: eventlog.Fields{"entry": n.options.Settings.Listen}})
 	n.start(background)
-	// The duties are handed on at the start of a planned stop, not at its end.
+	// The duties are released at the start of a planned stop, not at its end.
 	dutiesCtx, endDuties := context.WithCancel(background)
 	defer endDuties()
 	n.tasks.Go(func() { n.duties.run(dutiesCtx) })
@@ -269,26 +269,25 @@
 	return nil
 }
 
-// start begins what runs beside the listeners.
+// start starts the background tasks.
 func (n *Node) start(ctx context.Context) {
 	seed := n.options.Seed
 	n.tasks.Go(func() {
-		n.reader.follow(ctx, n.reader.configuration(), rand.New(rand.NewPCG(seed, 4)))
+		n.reader.poll(ctx, n.reader.configuration(), rand.New(rand.NewPCG(seed, 4)))
 	})
 	n.tasks.Go(func() {
-		n.reader.follow(ctx, n.reader.registrations(), rand.New(rand.NewPCG(seed, 5)))
+		n.reader.poll(ctx, n.reader.registrations(), rand.New(rand.NewPCG(seed, 5)))
 	})
 	n.tasks.Go(func() { n.announcer.run(ctx) })
 	n.tasks.Go(func() { n.sync.Run(ctx) })
-	n.tasks.Go(func() { n.tidy(ctx) })
+	n.tasks.Go(func() { n.maintain(ctx) })
 }
 
-// tidyEvery is how often idle connections are looked through.
-const tidyEvery = time.Second
+const maintenanceInterval = time.Second
 
-// tidy closes stale connections and follows the number of nodes.
-func (n *Node) tidy(ctx context.Context) {
-	ticker := time.NewTicker(tidyEvery)
+// maintain closes expired connections and updates the retry budget's node count.
+func (n *Node) maintain(ctx context.Context) {
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -296,7 +295,7 @@
 			return
 		case now := <-ticker.C:
 			n.conns.CloseExpired(now)
-			n.budget.SetNodes(n.shareOf())
+			n.budget.SetNodes(n.assumedNodeCount())
 		}
 	}
 }
--- a/internal/edge/node_test.go
+++ b/internal/edge/node_test.go
@@ -24,25 +24,25 @@
 	"galenatrestle/internal/settings"
 )
 
-// storeStandIn is the platform's store in memory. It can turn single nodes away.
-type storeStandIn struct {
+// fakeStore is an in-memory store that can be unreachable for single nodes.
+type fakeStore struct {
 	mu       sync.Mutex
 	document []byte
 	listing  replica.Listing
 	nodes    map[string]nodesync.Node
-	// kv has the leases and what the duties keep.
+	// kv stores the leases and the duties' keys.
 	kv    *dutytest.Store
 	down  map[string]bool
 	reads int
 }
 
-// seenBy is the store as one node reaches it.
-type seenBy struct {
-	*storeStandIn
+// nodeStore is the store as seen by one node.
+type nodeStore struct {
+	*fakeStore
 	node string
 }
 
-func (s seenBy) reach() error {
+func (s nodeStore) reach() error {
 	if s.down[s.node] {
 		return platform.ErrUnavailable
 	}
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func (s seenBy) Configuration(context.Context) ([]byte, error) {
+func (s nodeStore) Configuration(context.Context) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.document == nil {
@@ -59,7 +59,7 @@
 	return s.document, s.reach()
 }
 
-func (s seenBy) Replicas(context.Context) (replica.Listing, error) {
+func (s nodeStore) Replicas(context.Context) (replica.Listing, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.reach(); err != nil {
@@ -68,41 +68,41 @@
 	return s.listing, nil
 }
 
-func (s seenBy) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
+func (s nodeStore) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
 	if err := s.reached(); err != nil {
 		return 0, err
 	}
 	return s.kv.Grant(ctx, ttl)
 }
 
-func (s seenBy) Renew(ctx context.Context, lease int64) error {
+func (s nodeStore) Renew(ctx context.Context, lease int64) error {
 	return s.kv.Renew(ctx, lease)
 }
 
-func (s seenBy) End(ctx context.Context, lease int64) error { return s.kv.End(ctx, lease) }
+func (s nodeStore) End(ctx context.Context, lease int64) error { return s.kv.End(ctx, lease) }
 
-func (s seenBy) Get(ctx context.Context, key string) (platform.Entry, error) {
+func (s nodeStore) Get(ctx context.Context, key string) (platform.Entry, error) {
 	if err := s.reached(); err != nil {
 		return platform.Entry{}, err
 	}
 	return s.kv.Get(ctx, key)
 }
 
-func (s seenBy) Commit(ctx context.Context, t platform.Transaction) (int64, error) {
+func (s nodeStore) Commit(ctx context.Context, t platform.Transaction) (int64, error) {
 	if err := s.reached(); err != nil {
 		return 0, err
 	}
 	return s.kv.Commit(ctx, t)
 }
 
-// reached is reach without the lock held.
-func (s seenBy) reached() error {
+// reached calls reach while holding the lock.
+func (s nodeStore) reached() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reach()
 }
 
-func (s seenBy) Announce(_ context.Context, n nodesync.Node, _ int64) error {
+func (s nodeStore) Announce(_ context.Context, n nodesync.Node, _ int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.reach(); err != nil {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func (s seenBy) Nodes(context.Context) ([]nodesync.Node, error) {
+func (s nodeStore) Nodes(context.Context) ([]nodesync.Node, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []nodesync.Node
@@ -122,7 +122,7 @@
 	return list, s.reach()
 }
 
-func (s *storeStandIn) set(change func()) {
+func (s *fakeStore) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -138,11 +138,11 @@
 	return json.NewEncoder(w).Encode(addresses)
 }
 
-// deployment is two nodes before a store and a plain service.
+// deployment is two nodes with a store and an HTTP service as the replica.
 type deployment struct {
 	t       *testing.T
-	store   *storeStandIn
-	duties  dutyStandIn
+	store   *fakeStore
+	duties  fakeDutyPlatform
 	service *httptest.Server
 	nodes   []*runningNode
 }
@@ -154,7 +154,7 @@
 	log  *lockedBuffer
 }
 
-// lockedBuffer takes a node's log.
+// lockedBuffer collects a node's log.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -172,7 +172,7 @@
 	return b.text.String()
 }
 
-// decodeDocument reads a document of the form VERSION KEY.
+// decodeDocument parses a document of the form "VERSION KEY".
 func decodeDocument(data []byte) (*route.Document, error) {
 	var version int64
 	var key string
@@ -194,7 +194,7 @@
 
 func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	d := &deployment{t: t, duties: dutyStandIn{dutytest.NewJudge(time.Second, 1)}, store: &storeStandIn{nodes: make(map[string]nodesync.Node), down: make(map[string]bool), kv: dutytest.NewStore(1)}}
+	d := &deployment{t: t, duties: fakeDutyPlatform{dutytest.NewJudge(time.Second, 1)}, store: &fakeStore{nodes: make(map[string]nodesync.Node), down: make(map[string]bool), kv: dutytest.NewStore(1)}}
 	d.service = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forwardtest.HeaderID, r.Header.Get(forwardtest.HeaderID))
 		w.Header().Set(forwardtest.HeaderStamp, "s")
@@ -236,7 +236,7 @@
 	}
 	log := &lockedBuffer{}
 	n, err := New(Options{
-		Settings: loaded, Store: seenBy{d.store, name}, Codec: forwardtest.Codec{}, Decode: decodeDocument,
+		Settings: loaded, Store: nodeStore{d.store, name}, Codec: forwardtest.Codec{}, Decode: decodeDocument,
 		Wire: testWire{}, Clock: boottime.Now, Seed: 1, Output: log, Duties: d.duties,
 	})
 	if err != nil {
@@ -257,20 +257,20 @@
 	return running
 }
 
-// eventually waits until the condition holds; the test's own timeout bounds it.
+// eventually fails the test if the condition is not met within 30 s.
 func (d *deployment) eventually(what string, holds func() bool) {
 	d.t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for !holds() {
 		if time.Now().After(deadline) {
-			d.t.Fatalf("never: %s", what)
+			d.t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// ask sends a call to a node with the key.
-func (d *deployment) ask(n *runningNode, key string) (int, string, http.Header) {
+// send sends a request with the key to a node.
+func (d *deployment) send(n *runningNode, key string) (int, string, http.Header) {
 	d.t.Helper()
 	request, _ := http.NewRequest(http.MethodPost, "http://"+n.address("listen")+"/claims", strings.NewReader("x"))
 	request.Host = "h.example"
@@ -286,11 +286,11 @@
 }
 
 func (d *deployment) status(n *runningNode, key string) int {
-	status, _, _ := d.ask(n, key)
+	status, _, _ := d.send(n, key)
 	return status
 }
 
-// resolve returns the addresses that a node tells.
+// resolve returns the response of a node's resolve endpoint.
 func (d *deployment) resolve(n *runningNode) []string {
 	response, err := http.Get("http://" + n.address("pass_through.resolve_listen") + "/resolve")
 	if err != nil {
@@ -314,18 +314,18 @@
 func (d *deployment) allServe() {
 	d.t.Helper()
 	for _, n := range d.nodes {
-		d.eventually(n.options.Settings.Name+" is ready and tells both", func() bool { return d.ready(n) && len(d.resolve(n)) == 2 })
+		d.eventually(n.options.Settings.Name+" is ready and returns both addresses", func() bool { return d.ready(n) && len(d.resolve(n)) == 2 })
 	}
 }
 
-func TestTheWholePath(t *testing.T) {
+func TestRequestsAreForwardedAndAuthenticated(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.allServe()
 	for _, n := range d.nodes {
-		status, body, _ := d.ask(n, "first")
+		status, body, _ := d.send(n, "first")
 		if status != http.StatusOK || body != "done for shop" {
-			t.Errorf("%s answered %d %q", n.options.Settings.Name, status, body)
+			t.Errorf("%s: status %d, body %q", n.options.Settings.Name, status, body)
 		}
 		if status := d.status(n, "other"); status != http.StatusUnauthorized {
 			t.Errorf("an unknown key got %d", status)
@@ -333,9 +333,9 @@
 	}
 }
 
-// TestANodeThatTheStoreTurnsAwayLearnsFromTheOther covers a new configuration, a
-// revoked key and a leaving replica.
-func TestANodeThatTheStoreTurnsAwayLearnsFromTheOther(t *testing.T) {
+// TestNodeWithoutStoreSyncsFromPeer covers a new configuration, a revoked key and a
+// draining replica.
+func TestNodeWithoutStoreSyncsFromPeer(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.allServe()
@@ -347,31 +347,31 @@
 		r.Draining = true
 		d.store.listing = replica.Listing{Revision: 7, Replicas: []replica.Replica{r, d.replica("i-2")}}
 	})
-	d.eventually("the new key is known", func() bool { return d.status(cut, "second") == http.StatusOK })
+	d.eventually("the new key is accepted", func() bool { return d.status(cut, "second") == http.StatusOK })
 	if status := d.status(cut, "first"); status != http.StatusUnauthorized {
 		t.Errorf("the revoked key got %d", status)
 	}
-	d.eventually("the leaving replica is known", func() bool { return !cut.replicas.Usable("i-1") && cut.replicas.Usable("i-2") })
+	d.eventually("the draining replica is excluded", func() bool { return !cut.replicas.Usable("i-1") && cut.replicas.Usable("i-2") })
 	if !d.ready(cut) {
-		t.Error("the node is not ready, though the other proves its configuration")
+		t.Error("the node is not ready, although its peer proves the configuration")
 	}
-	d.eventually("the log tells where it came from", func() bool {
+	d.eventually("the log names the source of the configuration", func() bool {
 		return strings.Contains(cut.log.String(), `"from":"vm-2"`) && strings.Contains(cut.log.String(), `"store_lost"`)
 	})
 }
 
-func TestAPlannedStopSendsCallersElsewhereAndServesThoseWhoCome(t *testing.T) {
+func TestPlannedStopRemovesEntryAddressAndServesLateRequests(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.allServe()
 	leaving, staying := d.nodes[0], d.nodes[1]
 	leaving.stop()
-	d.eventually("nobody is sent to the leaving node", func() bool {
+	d.eventually("the leaving node's address is withdrawn", func() bool {
 		return len(d.resolve(staying)) == 1 && d.resolve(staying)[0] == staying.address("listen")
 	})
-	status, body, _ := d.ask(leaving, "first")
+	status, body, _ := d.send(leaving, "first")
 	if status != http.StatusOK || body != "done for shop" {
-		t.Errorf("while leaving: %d %q", status, body)
+		t.Errorf("while leaving: status %d, body %q", status, body)
 	}
 	if d.ready(leaving) {
 		t.Error("a leaving node is ready")
@@ -382,7 +382,7 @@
 	}
 }
 
-func TestANodeWithoutAConfigurationRefusesAndIsNotTold(t *testing.T) {
+func TestNodeWithoutConfigurationIsNotReady(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.allServe()
@@ -391,7 +391,7 @@
 		d.store.down["vm-3"] = true
 	})
 	fresh := d.start("vm-3")
-	status, _, header := d.ask(fresh, "first")
+	status, _, header := d.send(fresh, "first")
 	if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
 		t.Errorf("status %d, header %v", status, header)
 	}
@@ -400,7 +400,7 @@
 	}
 }
 
-func TestReloadTakesBoundsAndKeepsServing(t *testing.T) {
+func TestReloadAppliesBoundsAndKeepsServing(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.allServe()
@@ -416,6 +416,6 @@
 	n.Reload(&settings.Settings{})
 	n.ReloadFailed(errors.New("field listen, value x"))
 	if n.bounds().RevokeAfter != time.Minute || d.status(n, "first") != http.StatusOK {
-		t.Error("unusable settings took effect")
+		t.Error("invalid settings took effect")
 	}
 }
--- a/internal/edge/options.go
+++ b/internal/edge/options.go
@@ -9,19 +9,19 @@
 	"galenatrestle/internal/settings"
 )
 
-// Options are what a node works with besides its settings.
+// Options are a node's settings and dependencies.
 type Options struct {
 	Settings *settings.Settings
 	Store    Store
 	Codec    forward.Codec
-	// Decode reads the operator's configuration.
+	// Decode parses the operator's configuration.
 	Decode func([]byte) (*route.Document, error)
 	Wire   Wire
-	// Duties takes the calls of the fleet's duties; nil where it has none.
+	// Duties is nil if the fleet has no duties.
 	Duties DutyPlatform
 	Clock  boottime.Clock
-	// Seed feeds the random choices.
+	// Seed seeds the random number generators.
 	Seed uint64
-	// Output takes the log's lines.
+	// Output receives the log lines.
 	Output io.Writer
 }
--- a/internal/edge/questions.go
+++ b/internal/edge/questions.go
@@ -9,35 +9,35 @@
 	"galenatrestle/internal/nodesync"
 )
 
-// readyAge is the age of the configuration's proof up to which a node is ready.
-// Past it, it may soon have to refuse the requests that carry keys.
-const readyAge = 2500 * time.Millisecond
+// maxReadyProofAge is the maximum age of the configuration's proof at which a node is
+// ready. An older one may soon force it to refuse requests that carry keys.
+const maxReadyProofAge = 2500 * time.Millisecond
 
-// Ready says whether callers should be sent here.
+// Ready reports whether callers should be sent to this node.
 func (n *Node) Ready() bool {
 	snapshot := n.routes.Get()
 	if snapshot.Table == nil || !n.replicas.HasListing() || n.leaving.Load() {
 		return false
 	}
-	return snapshot.Age(n.options.Clock()) < readyAge
+	return snapshot.Age(n.options.Clock()) < maxReadyProofAge
 }
 
-// questions answers the platform's and callers' questions.
-func (n *Node) questions() http.Handler {
+// discoveryHandler serves the readiness and resolve endpoints.
+func (n *Node) discoveryHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+n.options.Wire.ReadyPath(), n.answerReady)
-	mux.HandleFunc("GET "+n.options.Wire.ResolvePath(), n.answerResolve)
+	mux.HandleFunc("GET "+n.options.Wire.ReadyPath(), n.handleReady)
+	mux.HandleFunc("GET "+n.options.Wire.ResolvePath(), n.handleResolve)
 	return mux
 }
 
-func (n *Node) answerReady(w http.ResponseWriter, _ *http.Request) {
+func (n *Node) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !n.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// answerResolve tells callers which addresses to use.
-func (n *Node) answerResolve(w http.ResponseWriter, r *http.Request) {
+// handleResolve responds with the entry addresses that the caller should use.
+func (n *Node) handleResolve(w http.ResponseWriter, r *http.Request) {
 	addresses := n.entryAddresses(n.options.Wire.CallerZone(r))
 	if len(addresses) == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -48,13 +48,12 @@
 	}
 }
 
-// maxAddresses is the most that callers take.
+// maxAddresses is the maximum number of addresses that callers accept.
 const maxAddresses = 64
 
-// entryAddresses are those of the nodes that serve, or where none is known to, of
-// those that are alive. In a fleet that is too large to be told whole, callers of each
-// availability zone are told some of their own: the first ones by name took all the
-// load of a fleet of 295 nodes, most of it across zones.
+// entryAddresses returns the addresses of the ready nodes, or of the live ones if none is
+// ready. In a fleet above maxAddresses, callers get nodes of their own availability zone,
+// which spreads the load and avoids traffic across zones.
 func (n *Node) entryAddresses(zone string) []string {
 	now := n.options.Clock()
 	serving := n.nodes.Serving(now)
@@ -70,7 +69,7 @@
 	return entryAddressesOf(serving)
 }
 
-// alive is the nodes that may serve though none tells that it does.
+// alive returns this node and the live ones that are not leaving, ready or not.
 func (n *Node) alive(now boottime.Instant) []nodesync.Node {
 	alive := slices.DeleteFunc(n.nodes.Alive(now), func(node nodesync.Node) bool { return node.Leaving })
 	if !n.leaving.Load() {
--- a/internal/edge/questions_test.go
+++ b/internal/edge/questions_test.go
@@ -9,9 +9,8 @@
 	"galenatrestle/internal/nodesync"
 )
 
-// TestCallersAreToldNodesOfTheirZone: a fleet of three hundred nodes, of which an answer
-// can name a part.
-func TestCallersAreToldNodesOfTheirZone(t *testing.T) {
+// TestResolveReturnsNodesOfTheCallersZone uses a fleet larger than one response can list.
+func TestResolveReturnsNodesOfTheCallersZone(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.allServe()
@@ -21,24 +20,24 @@
 		zone := fmt.Sprintf("hall-%c", 'a'+i%5)
 		n.nodes.Merge(nodesync.Node{
 			Name: fmt.Sprintf("far-%d", i), AvailabilityZone: zone, EntryAddress: zone + fmt.Sprintf(".%d:1", i),
-			PeerAddress: fmt.Sprintf("127.0.0.1:%d", 1+i), Ready: true, LastSeen: now.Add(nodeTestAhead),
+			PeerAddress: fmt.Sprintf("127.0.0.1:%d", 1+i), Ready: true, LastSeen: now.Add(lastSeenAhead),
 		})
 	}
 	for _, zone := range []string{"hall-b", "hall-e"} {
-		told := n.entryAddresses(zone)
-		if len(told) != nodesync.EntryNodesPerZone {
-			t.Errorf("%s: %d addresses, want %d", zone, len(told), nodesync.EntryNodesPerZone)
+		addresses := n.entryAddresses(zone)
+		if len(addresses) != nodesync.EntryNodesPerZone {
+			t.Errorf("%s: %d addresses, want %d", zone, len(addresses), nodesync.EntryNodesPerZone)
 		}
-		for _, address := range told {
+		for _, address := range addresses {
 			if !strings.HasPrefix(address, zone) {
-				t.Errorf("callers of %s are sent to %s", zone, address)
+				t.Errorf("a caller in %s gets address %s", zone, address)
 			}
 		}
 	}
-	if told := n.entryAddresses(""); len(told) != nodesync.EntryNodesPerZone {
-		t.Errorf("a caller that tells no zone gets %d addresses", len(told))
+	if addresses := n.entryAddresses(""); len(addresses) != nodesync.EntryNodesPerZone {
+		t.Errorf("a caller without a zone gets %d addresses", len(addresses))
 	}
 }
 
-// nodeTestAhead keeps the nodes of a test alive though nobody hears of them again.
-const nodeTestAhead = 1000 * time.Second
+// lastSeenAhead keeps the test's nodes alive without further updates.
+const lastSeenAhead = 1000 * time.Second
--- a/internal/edge/rates.go
+++ b/internal/edge/rates.go
@@ -2,7 +2,7 @@
 
 import "galenatrestle/internal/ratelimit"
 
-// rates is a node's part in keeping to the request rates that replicas name.
+// rates enforces the request rate limits that replicas declare.
 type rates struct {
 	node    *Node
 	limits  *ratelimit.Table
@@ -16,8 +16,8 @@
 	return &rates{node: n, limits: limits, permits: ratelimit.NewPermits(limits), issuer: ratelimit.NewIssuer()}
 }
 
-// link sets up the exchange of permits with the other nodes.
-func (r *rates) link() {
+// setUp connects the exchange of permits with the other nodes.
+func (r *rates) setUp() {
 	n := r.node
 	exchange := ratelimit.NewExchange(ratelimit.Options{
 		Table: r.limits, Issuer: r.issuer, Self: n.options.Settings.Name,
@@ -32,7 +32,7 @@
 	return issuer.Name, issuer.PeerAddress
 }
 
-// forget drops what is known of a replica that is gone.
+// forget drops the state of a removed replica.
 func (r *rates) forget(replica string) {
 	r.limits.Forget(replica)
 	r.permits.Forget(replica)
--- a/internal/edge/reader.go
+++ b/internal/edge/reader.go
@@ -16,92 +16,84 @@
 )
 
 const (
-	// readJitter spreads the reads of nodes that have no turn.
+	// readJitter spreads the reads of nodes that do not take turns.
 	readJitter = 600 * time.Millisecond
-	// turnStep is how much later the next node in the order reads, where the one before
-	// has not: longer than that one's read takes to be heard of. By turns a fleet of
-	// seven made 184 calls of the store on a quiet day, against 291 with a jitter alone.
+	// turnStep is the delay between consecutive nodes in the read order. It is longer than a
+	// read takes to reach the other nodes, so that the next one can skip its own.
 	turnStep = 250 * time.Millisecond
-	// mostSteps bounds how late a node reads though all before it have failed.
-	mostSteps = 2
-	// turnJitter tells nodes apart that believe to have the same turn.
+	// maxTurnSteps bounds the delay if all earlier nodes in the order failed to read.
+	maxTurnSteps = 2
+	// turnJitter separates nodes that assume the same turn.
 	turnJitter = 100 * time.Millisecond
-	// readTimeout bounds one read, of several calls where a listing has pages: seven
-	// for 3,000 replicas, and a megabyte, which takes a second on a slow link. The
+	// readTimeout bounds one read, which takes several calls if a listing has pages. The
 	// store's client bounds each call.
 	readTimeout = 4 * time.Second
 )
 
-// readAt is the age of a copy at which a node reads the store itself where changes are
-// to be known within usualBound. Until then it learns from the others, who tell its age,
-// so that a deployment reads a few times a second, however many nodes it has. Registrations change with each of their
-// heartbeats, so that a watch would return many times a second. With the jitter, a
-// read's time and a round between nodes, each is within the two seconds in which a
-// leaving replica or a new configuration must be known.
-var readAt = map[nodesync.Role]time.Duration{
+// readAgeByRole is the age of a copy at which a node reads the store itself, for changes
+// that must propagate within defaultBound. Until then it gets newer copies from other
+// nodes, so the load on the store does not grow with the fleet. A watch would not help:
+// registrations change with each heartbeat. Including jitter, the read and a round between
+// nodes, each age stays within defaultBound.
+var readAgeByRole = map[nodesync.Role]time.Duration{
 	nodesync.Peer: 800 * time.Millisecond,
-	// A hub reads for its availability zone, whose nodes ask it several times a
-	// second, and read themselves only where it has failed.
+	// A primary hub reads for the nodes of its availability zone, which read themselves only
+	// if it fails.
 	nodesync.PrimaryHub: 500 * time.Millisecond,
-	// The further hubs of a large zone are asked as often, but learn of the first
-	// one's reads within two rounds.
+	// A secondary hub of a large zone gets the primary's reads within two rounds.
 	nodesync.SecondaryHub: 800 * time.Millisecond,
 	nodesync.Member:       1300 * time.Millisecond,
 }
 
 const (
-	// usualBound is the time within which a change is known everywhere by readAt.
-	usualBound = 2 * time.Second
-	// mostSlack bounds how much later a node reads where the bound is longer: a node's
-	// proof stays younger than readyAge though its hub has failed. On a deployment with
-	// 4 s a fleet of 18 nodes made four calls of the store a second in place of two.
-	mostSlack = 1.8
+	// defaultBound is the propagation time that readAgeByRole is designed for.
+	defaultBound = 2 * time.Second
+	// maxSlackFactor keeps the proof below maxReadyProofAge for longer bounds, even if the
+	// node's hub has failed.
+	maxSlackFactor = 1.8
 )
 
-// slack is by how much later copies are read where changes must be known within the
-// bound.
-func slack(bound time.Duration) float64 {
-	return min(max(bound.Seconds()/usualBound.Seconds(), 1), mostSlack)
+// slackFactor returns the factor by which the read age grows for a longer bound.
+func slackFactor(bound time.Duration) float64 {
+	return min(max(bound.Seconds()/defaultBound.Seconds(), 1), maxSlackFactor)
 }
 
-// reader keeps the copies of the store's records fresh. Its two loops share
-// nothing but the log.
+// reader refreshes the copies of the store's records. Its two loops share only the log.
 type reader struct {
-	store    Store
-	routes   *routesource.Current
-	replicas *replica.Set
-	listed   func([]replica.Change)
-	// role is the node's part in spreading what it reads.
+	store            Store
+	routes           *routesource.Current
+	replicas         *replica.Set
+	onReplicaChanges func([]replica.Change)
+	// role is the node's role in the exchange between nodes.
 	role func() nodesync.Role
-	// turn is its place among the nodes that read for others.
+	// turn is the node's position among the nodes that read for others.
 	turn func() int
-	// firstReadAt is when the node may read what it has no copy of: at its start, but
-	// for a fleet's first one.
+	// firstReadAt is when the node may read records that it has no copy of; zero means at
+	// once.
 	firstReadAt boottime.Instant
-	// applyWithin is the time within which a configuration must be known everywhere,
-	// leaveWithin that for a leaving replica.
+	// applyWithin is the bound for propagating a configuration, leaveWithin that for a
+	// leaving replica.
 	applyWithin, leaveWithin func() time.Duration
 	clock                    boottime.Clock
 	log                      *eventlog.Log
 	metrics                  *metrics
 }
 
-// record is one of the store's records of which a reader keeps a copy.
+// record is a record of the store of which the reader keeps a copy.
 type record struct {
 	name string
-	// age is that of the copy.
-	age func() time.Duration
-	// known says whether there is a copy.
-	known func() bool
-	read  func(context.Context) error
-	// bound is the time within which a change must be known everywhere.
+	// age returns the age of the copy.
+	age     func() time.Duration
+	hasCopy func() bool
+	read    func(context.Context) error
+	// bound returns the time within which a change must reach all nodes.
 	bound func() time.Duration
 }
 
-// follow reads the record again and again until ctx ends.
-func (r *reader) follow(ctx context.Context, record record, random *rand.Rand) {
+// poll reads the record whenever its copy is due, until ctx ends.
+func (r *reader) poll(ctx context.Context, record record, random *rand.Rand) {
 	pause := time.Duration(0)
-	watch := storeWatch{what: record.name, log: r.log}
+	watch := outageLogger{what: record.name, log: r.log}
 	for {
 		if !r.awaitAge(ctx, random, record) {
 			return
@@ -109,11 +101,11 @@
 		limited, cancel := context.WithTimeout(ctx, readTimeout)
 		err := record.read(limited)
 		cancel()
-		r.metrics.read(record.name, err)
+		r.metrics.countRead(record.name, err)
 		if ctx.Err() != nil {
 			return
 		}
-		watch.note(err)
+		watch.observe(err)
 		if err == nil {
 			pause = 0
 			continue
@@ -125,34 +117,34 @@
 	}
 }
 
-// backoff is how the reader waits between failed reads of the record.
+// backoff returns the pauses between failed reads of the record.
 func (r *reader) backoff(record record) backoff {
-	if !record.known() {
+	if !record.hasCopy() {
 		return startBackoff
 	}
 	return backoffs[r.role()]
 }
 
-// dueAge is the age at which this node reads a copy. One read saves the others':
-// nodes that read for the same ones do it in turns, the others at different ages.
-// spread is drawn for each wait, between 0 and 1.
+// dueAge returns the age at which this node reads a copy. Nodes that read for others take
+// turns, and the rest use jitter, so that one read spares the others theirs. spread is a
+// random number in [0, 1), drawn once per wait.
 func (r *reader) dueAge(spread float64, bound time.Duration) time.Duration {
 	role := r.role()
-	due := time.Duration(float64(readAt[role]) * slack(bound))
+	due := time.Duration(float64(readAgeByRole[role]) * slackFactor(bound))
 	switch role {
 	case nodesync.Peer, nodesync.PrimaryHub:
-		step := turnStep * time.Duration(min(r.turn(), mostSteps))
+		step := turnStep * time.Duration(min(r.turn(), maxTurnSteps))
 		return due + step + time.Duration(spread*float64(turnJitter))
 	default:
 		return due + time.Duration(spread*float64(readJitter))
 	}
 }
 
-// awaitAge waits until the copy is due for a read; false: ctx has ended.
+// awaitAge waits until the copy is due for a read. It returns false if ctx ended.
 func (r *reader) awaitAge(ctx context.Context, random *rand.Rand, record record) bool {
 	spread := random.Float64()
 	for {
-		left := max(r.dueAge(spread, record.bound())-record.age(), r.untilFirst())
+		left := max(r.dueAge(spread, record.bound())-record.age(), r.untilFirstRead())
 		if left <= 0 {
 			return ctx.Err() == nil
 		}
@@ -162,42 +154,42 @@
 	}
 }
 
-// untilFirst is the time for which the node leaves the reading to others though it
-// knows nothing.
-func (r *reader) untilFirst() time.Duration {
+// untilFirstRead returns the time left until firstReadAt; it is not positive if the node
+// may read.
+func (r *reader) untilFirstRead() time.Duration {
 	if r.firstReadAt == 0 {
 		return 0
 	}
 	return r.firstReadAt.Sub(r.clock())
 }
 
-// configuration is the operator's configuration.
+// configuration returns the record of the operator's configuration.
 func (r *reader) configuration() record {
 	known := func() bool { return r.routes.Get().Version() > 0 }
-	return record{name: "configuration", age: r.routesAge, known: known, read: r.readRoutes, bound: r.applyWithin}
+	return record{name: "configuration", age: r.routesAge, hasCopy: known, read: r.readRoutes, bound: r.applyWithin}
 }
 
-// registrations are those of the replicas.
+// registrations returns the record of the replicas' registrations.
 func (r *reader) registrations() record {
-	return record{name: "replicas", age: r.replicasAge, known: r.replicas.HasListing, read: r.readReplicas, bound: r.leaveWithin}
+	return record{name: "replicas", age: r.replicasAge, hasCopy: r.replicas.HasListing, read: r.readReplicas, bound: r.leaveWithin}
 }
 
-// routesAge is the time since the routing table was known to be the newest.
+// routesAge returns the time since the routing table was last proven to be the newest.
 func (r *reader) routesAge() time.Duration { return r.routes.Get().Age(r.clock()) }
 
-// replicasAge is the age of the newest read of the registrations.
+// replicasAge returns the age of the newest read of the registrations.
 func (r *reader) replicasAge() time.Duration {
 	_, readAt := r.replicas.Latest()
 	return r.clock().Sub(readAt)
 }
 
-// readRoutes reads the operator's configuration. The read is linearizable, so
-// that what it returns was the newest at some instant after its start.
+// readRoutes reads the operator's configuration. The read is linearizable: its result was
+// the newest at some instant after its start.
 func (r *reader) readRoutes(ctx context.Context) error {
 	began := r.clock()
 	document, err := r.store.Configuration(ctx)
 	if errors.Is(err, platform.ErrNotFound) {
-		// None was written yet, which the other nodes are told.
+		// No configuration exists yet; this is passed on to other nodes as version 0.
 		r.routes.Prove(0, began)
 		return nil
 	}
@@ -214,7 +206,7 @@
 	return nil
 }
 
-// readReplicas reads the registrations.
+// readReplicas reads the registrations. Entries that cannot be decoded are logged.
 func (r *reader) readReplicas(ctx context.Context) error {
 	began := r.clock()
 	listing, err := r.store.Replicas(ctx)
@@ -224,6 +216,6 @@
 	if err != nil {
 		r.log.Error("decode registrations", err)
 	}
-	r.listed(r.replicas.Update(listing, began, r.clock()))
+	r.onReplicaChanges(r.replicas.Update(listing, began, r.clock()))
 	return nil
 }
--- a/internal/edge/reader_test.go
+++ b/internal/edge/reader_test.go
@@ -18,44 +18,41 @@
 	"galenatrestle/internal/routesource"
 )
 
-// usually is the usual bound.
-func usually() time.Duration { return usualBound }
+func defaultBoundFunc() time.Duration { return defaultBound }
 
-// aged is a record whose copy has the age.
-func aged(age func() time.Duration) record { return record{age: age, bound: usually} }
+func recordWithAge(age func() time.Duration) record { return record{age: age, bound: defaultBoundFunc} }
 
-// TestCopiesAreReadAsOftenAsTheirBoundAsks: a bound of four seconds allows half of the
-// reads, and no bound lets a node's proof grow so old that it is not ready.
-func TestCopiesAreReadAsOftenAsTheirBoundAsks(t *testing.T) {
-	for role := range readAt {
+// TestReadAgeFollowsBound checks that a longer bound saves reads, and that no bound lets a
+// node's proof grow too old for it to be ready.
+func TestReadAgeFollowsBound(t *testing.T) {
+	for role := range readAgeByRole {
 		r := &reader{role: func() nodesync.Role { return role }, turn: func() int { return 0 }}
 		due := func(bound time.Duration) time.Duration { return r.dueAge(0, bound) }
-		if due(0) != due(usualBound) || due(time.Second) != due(usualBound) {
+		if due(0) != due(defaultBound) || due(time.Second) != due(defaultBound) {
 			t.Errorf("role %d: due at %s without a bound, %s with a short one", role, due(0), due(time.Second))
 		}
-		if due(4*time.Second) < due(usualBound)*3/2 || due(time.Hour) > readyAge {
-			t.Errorf("role %d: due at %s, with 4 s at %s, with an hour at %s", role, due(usualBound), due(4*time.Second), due(time.Hour))
+		if due(4*time.Second) < due(defaultBound)*3/2 || due(time.Hour) > maxReadyProofAge {
+			t.Errorf("role %d: due at %s, with 4 s at %s, with an hour at %s", role, due(defaultBound), due(4*time.Second), due(time.Hour))
 		}
 	}
 }
 
-// TestANodeReadsOnlyWhatNobodyHasReadLately lets other nodes' reads make the copy
-// young again for a while.
-func TestANodeReadsOnlyWhatNobodyHasReadLately(t *testing.T) {
-	for role, least := range readAt {
+// TestFreshCopyIsNotRead guards against reads of a copy that other nodes keep fresh.
+func TestFreshCopyIsNotRead(t *testing.T) {
+	for role, least := range readAgeByRole {
 		synctest.Test(t, func(t *testing.T) {
 			r := &reader{role: func() nodesync.Role { return role }, turn: func() int { return 9 }}
 			began := time.Now()
-			told := began
+			lastUpdate := began
 			age := func() time.Duration {
-				// Another node tells of a read every 200 ms for ten seconds.
-				if now := time.Now(); now.Sub(began) < 10*time.Second && now.Sub(told) >= 200*time.Millisecond {
-					told = now
+				// Another node reads every 200 ms for ten seconds.
+				if now := time.Now(); now.Sub(began) < 10*time.Second && now.Sub(lastUpdate) >= 200*time.Millisecond {
+					lastUpdate = now
 				}
-				return time.Since(told)
+				return time.Since(lastUpdate)
 			}
-			if !r.awaitAge(t.Context(), rand.New(rand.NewPCG(1, 1)), aged(age)) {
-				t.Fatal("the wait ended without a reason")
+			if !r.awaitAge(t.Context(), rand.New(rand.NewPCG(1, 1)), recordWithAge(age)) {
+				t.Fatal("awaitAge returned before the copy was due")
 			}
 			if waited := time.Since(began); waited < 10*time.Second || waited > 10*time.Second+least+readJitter {
 				t.Errorf("role %d read after %s", role, waited)
@@ -64,20 +61,19 @@
 	}
 }
 
-func TestAWaitForAReadEndsWithItsContext(t *testing.T) {
+func TestAwaitAgeEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &reader{role: func() nodesync.Role { return nodesync.Peer }, turn: func() int { return 0 }}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if r.awaitAge(ctx, rand.New(rand.NewPCG(1, 1)), aged(func() time.Duration { return 0 })) {
-			t.Error("a copy that stays young is read")
+		if r.awaitAge(ctx, rand.New(rand.NewPCG(1, 1)), recordWithAge(func() time.Duration { return 0 })) {
+			t.Error("a fresh copy is read")
 		}
 	})
 }
 
-// TestFewReadsFailInAnOutage counts the reads of a node whose store does not answer
-// for a while: the members of a large fleet leave it to their hub to find it again.
-func TestFewReadsFailInAnOutage(t *testing.T) {
+// TestFailedReadsBackOffByRole bounds the failed reads of each role in a store outage.
+func TestFailedReadsBackOffByRole(t *testing.T) {
 	const outage = 10 * time.Second
 	cases := []struct {
 		name  string
@@ -87,10 +83,10 @@
 		most  int
 	}{
 		{"a member", nodesync.Member, true, 2, 5},
-		{"a further hub", nodesync.SecondaryHub, true, 4, 9},
-		{"a hub", nodesync.PrimaryHub, true, 8, 16},
+		{"a secondary hub", nodesync.SecondaryHub, true, 4, 9},
+		{"a primary hub", nodesync.PrimaryHub, true, 8, 16},
 		{"a node of a small fleet", nodesync.Peer, true, 8, 16},
-		{"a member that knows nothing yet", nodesync.Member, false, 8, 16},
+		{"a member without a copy", nodesync.Member, false, 8, 16},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -104,11 +100,11 @@
 				reads := 0
 				ctx, cancel := context.WithTimeout(t.Context(), outage)
 				defer cancel()
-				r.follow(ctx, record{
-					name:  "replicas",
-					age:   func() time.Duration { return time.Hour },
-					known: func() bool { return test.known },
-					bound: usually,
+				r.poll(ctx, record{
+					name:    "replicas",
+					age:     func() time.Duration { return time.Hour },
+					hasCopy: func() bool { return test.known },
+					bound:   defaultBoundFunc,
 					read: func(context.Context) error {
 						reads++
 						return errors.New("the store does not answer")
@@ -122,40 +118,39 @@
 	}
 }
 
-// TestAFirstStartIsReadByTheSeeds: at a fleet's first start nobody is served, and what
-// the seeds have read comes from them.
-func TestAFirstStartIsReadByTheSeeds(t *testing.T) {
+// TestFirstStartUsesCopiesFromSeeds guards against every node of a new fleet reading the
+// store.
+func TestFirstStartUsesCopiesFromSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &reader{role: func() nodesync.Role { return nodesync.Member }, turn: func() int { return 0 }}
-		began, told := time.Now(), time.Time{}
+		began, lastUpdate := time.Now(), time.Time{}
 		r.clock = func() boottime.Instant { return boottime.Instant(time.Since(began)) + 1 }
-		r.firstReadAt = r.clock().Add(firstReadWait)
+		r.firstReadAt = r.clock().Add(firstReadDelay)
 		age := func() time.Duration {
-			// The news come after two seconds, and stop after ten.
+			// Updates arrive from two to ten seconds after the start.
 			if passed := time.Since(began); passed > 2*time.Second && passed < 10*time.Second {
-				told = time.Now()
+				lastUpdate = time.Now()
 			}
-			return time.Since(told)
+			return time.Since(lastUpdate)
 		}
-		if !r.awaitAge(t.Context(), rand.New(rand.NewPCG(1, 1)), aged(age)) {
-			t.Fatal("the wait ended without a reason")
+		if !r.awaitAge(t.Context(), rand.New(rand.NewPCG(1, 1)), recordWithAge(age)) {
+			t.Fatal("awaitAge returned before the copy was due")
 		}
 		if waited := time.Since(began); waited < 10*time.Second {
-			t.Errorf("read after %s, though others had read it", waited)
+			t.Errorf("read after %s, while other nodes kept the copy fresh", waited)
 		}
 	})
 }
 
-// TestAFirstStartWithoutSeedsIsRead: none of them answers.
-func TestAFirstStartWithoutSeedsIsRead(t *testing.T) {
+func TestFirstStartWithoutSeedsReadsAfterDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		r := &reader{role: func() nodesync.Role { return nodesync.Peer }, turn: func() int { return 0 }}
 		r.clock = func() boottime.Instant { return boottime.Instant(time.Since(began)) + 1 }
-		r.firstReadAt = r.clock().Add(firstReadWait)
-		r.awaitAge(t.Context(), rand.New(rand.NewPCG(1, 1)), aged(func() time.Duration { return time.Hour }))
-		if waited := time.Since(began); waited != firstReadWait {
-			t.Errorf("read after %s, want %s", waited, firstReadWait)
+		r.firstReadAt = r.clock().Add(firstReadDelay)
+		r.awaitAge(t.Context(), rand.New(rand.NewPCG(1, 1)), recordWithAge(func() time.Duration { return time.Hour }))
+		if waited := time.Since(began); waited != firstReadDelay {
+			t.Errorf("read after %s, want %s", waited, firstReadDelay)
 		}
 	})
 }
--- a/internal/edge/store.go
+++ b/internal/edge/store.go
@@ -10,28 +10,28 @@
 	"galenatrestle/internal/replica"
 )
 
-// Store is what a node reads and writes in the platform's store.
+// Store is the part of the platform's store that a node uses.
 type Store interface {
 	duty.Store
-	// Configuration reads the operator's newest document.
+	// Configuration reads the newest version of the operator's document.
 	Configuration(ctx context.Context) ([]byte, error)
-	// Replicas reads all registrations. A listing may come with an error that
-	// tells of entries which could not be decoded.
+	// Replicas reads all registrations. A listing may come with an error that lists entries
+	// which could not be decoded.
 	Replicas(ctx context.Context) (replica.Listing, error)
-	// Announce makes the node known while the lease lasts.
+	// Announce writes the node's entry, which expires with the lease.
 	Announce(ctx context.Context, n nodesync.Node, lease int64) error
-	// Nodes lists the announced nodes, as of some seconds ago.
+	// Nodes lists the announced nodes; the result may be some seconds old.
 	Nodes(ctx context.Context) ([]nodesync.Node, error)
 }
 
-// Wire answers the platform's and callers' questions in their format.
+// Wire defines the format of the readiness and resolve endpoints.
 type Wire interface {
-	// ReadyPath is the path of the question whether the node is ready,
-	// ResolvePath that of the question which addresses to use.
+	// ReadyPath is the path of the readiness endpoint, ResolvePath that of the endpoint
+	// that returns entry addresses.
 	ReadyPath() string
 	ResolvePath() string
-	// CallerZone is the availability zone that such a question tells; empty: none.
+	// CallerZone returns the caller's availability zone from a resolve request, or "".
 	CallerZone(r *http.Request) string
-	// WriteResolve answers with the addresses, to be kept for ttl.
+	// WriteResolve writes the addresses; callers may cache them for ttl.
 	WriteResolve(w http.ResponseWriter, addresses []string, ttl time.Duration) error
 }
