--- a/internal/overload/doc.go
+++ b/internal/overload/doc.go
@@ -3,8 +3,8 @@
 //
 // It handles prompts that arrive faster than replicas prefill them, as in a burst of
 // long prompts or with cold caches after a start. Without it queues grow until every
-// request misses its objective. While a request of some rank is refused, requests of
-// less urgent ranks are refused too.
+// request misses its objective. For a short time after a refusal, requests of less urgent
+// ranks are refused too.
 //
 // The caller passes the current time. State is in memory, per upstream, and does not
 // depend on the platform.
--- a/internal/overload/gate.go
+++ b/internal/overload/gate.go
@@ -23,7 +23,8 @@
 	// refusalWindow is how long less urgent requests are refused after a more urgent
 	// one was. It covers several load exchanges between nodes.
 	refusalWindow = time.Second
-	// minRetryDelay covers several load exchanges between nodes.
+	// minRetryDelay is the shortest retry delay, unless the time left is too short for it.
+	// It covers several load exchanges between nodes.
 	minRetryDelay = 400 * time.Millisecond
 	// maxRetryFraction is the largest fraction of the time left to spend on waiting
 	// before a retry. The rest is for the response.
@@ -34,7 +35,8 @@
 type Gate struct {
 	mu sync.Mutex
 	// refusedRank is the most urgent rank refused within refusalWindow for a reason
-	// other than MoreUrgentRefused, and refusedAt the time; zero: none.
+	// other than MoreUrgentRefused, and refusedAt the time of its last refusal. If
+	// refusedAt is zero, there was none.
 	refusedRank int
 	refusedAt   time.Time
 }
@@ -56,7 +58,8 @@
 }
 
 // RetryDelay returns how long a refused caller should wait before it retries: the expected
-// queue time, limited to a fraction of the time left. A timeLeft of zero or less is unknown.
+// queue time, but at least minRetryDelay and at most a fraction of the time left. A timeLeft
+// of zero or less means that it is unknown.
 func RetryDelay(queueTime, timeLeft time.Duration) time.Duration {
 	delay := max(queueTime, minRetryDelay)
 	if timeLeft > 0 {
@@ -65,8 +68,8 @@
 	return delay
 }
 
-// refusalReason returns why the request is refused regardless of other requests; empty: it
-// is not.
+// refusalReason returns why the request is refused regardless of other requests, or the empty
+// reason if it is not refused.
 func (r *Request) refusalReason() Reason {
 	switch {
 	case r.MemoryUsed > memoryThreshold:
--- a/internal/overload/gate_test.go
+++ b/internal/overload/gate_test.go
@@ -43,21 +43,21 @@
 	moreUrgent := Request{Rank: 0, Objective: 500 * time.Millisecond, QueueTime: 50 * time.Millisecond}
 
 	g := new(Gate)
-	if v := g.Decide(start, lessUrgent); v.Refused() {
-		t.Fatalf("refused with reason %q before any other refusal", v.Reason)
+	if decision := g.Decide(start, lessUrgent); decision.Refused() {
+		t.Fatalf("refused with reason %q before any other refusal", decision.Reason)
 	}
-	if v := g.Decide(start, late); v.Reason != TooLate {
-		t.Fatalf("a wait of nearly twice the objective: reason %q", v.Reason)
+	if decision := g.Decide(start, late); decision.Reason != TooLate {
+		t.Fatalf("a wait of nearly twice the objective: reason %q", decision.Reason)
 	}
 	soon := start.Add(100 * time.Millisecond)
-	if v := g.Decide(soon, lessUrgent); v.Reason != MoreUrgentRefused {
-		t.Errorf("a less urgent request after the refusal: reason %q", v.Reason)
+	if decision := g.Decide(soon, lessUrgent); decision.Reason != MoreUrgentRefused {
+		t.Errorf("a less urgent request after the refusal: reason %q", decision.Reason)
 	}
-	if v := g.Decide(soon, moreUrgent); v.Refused() {
-		t.Errorf("a more urgent request after the refusal: reason %q", v.Reason)
+	if decision := g.Decide(soon, moreUrgent); decision.Refused() {
+		t.Errorf("a more urgent request after the refusal: reason %q", decision.Reason)
 	}
-	if v := g.Decide(start.Add(refusalWindow), lessUrgent); v.Refused() {
-		t.Errorf("a less urgent request %s after the refusal: reason %q", refusalWindow, v.Reason)
+	if decision := g.Decide(start.Add(refusalWindow), lessUrgent); decision.Refused() {
+		t.Errorf("a less urgent request %s after the refusal: reason %q", refusalWindow, decision.Reason)
 	}
 }
 
@@ -71,24 +71,24 @@
 	g := new(Gate)
 	g.Decide(start, late(1))
 	g.Decide(start.Add(refusalWindow/2), late(5))
-	if v := g.Decide(start.Add(refusalWindow*3/4), onTime(3)); v.Reason != MoreUrgentRefused {
-		t.Errorf("rank 3 after rank 1 was refused: reason %q", v.Reason)
+	if decision := g.Decide(start.Add(refusalWindow*3/4), onTime(3)); decision.Reason != MoreUrgentRefused {
+		t.Errorf("rank 3 after rank 1 was refused: reason %q", decision.Reason)
 	}
 	for i := range 10 {
 		g.Decide(start.Add(time.Duration(i)*refusalWindow/10), onTime(3))
 	}
-	if v := g.Decide(start.Add(refusalWindow), onTime(3)); v.Refused() {
-		t.Errorf("rank 3 after the window of the refusal of rank 1: reason %q", v.Reason)
+	if decision := g.Decide(start.Add(refusalWindow), onTime(3)); decision.Refused() {
+		t.Errorf("rank 3 after the window of the refusal of rank 1: reason %q", decision.Reason)
 	}
 }
 
 func TestGatesAreSeparateByUpstream(t *testing.T) {
 	var gates Gates
 	gates.Of("a").Decide(start, Request{Rank: 0, Objective: second, QueueTime: 3 * second})
-	if v := gates.Of("b").Decide(start, Request{Rank: 1, Objective: second}); v.Refused() {
-		t.Errorf("refused because of another upstream: reason %q", v.Reason)
+	if decision := gates.Of("b").Decide(start, Request{Rank: 1, Objective: second}); decision.Refused() {
+		t.Errorf("refused because of another upstream: reason %q", decision.Reason)
 	}
-	if v := gates.Of("a").Decide(start, Request{Rank: 1, Objective: second}); !v.Refused() {
+	if decision := gates.Of("a").Decide(start, Request{Rank: 1, Objective: second}); !decision.Refused() {
 		t.Error("a less urgent request was admitted right after a refusal at the same upstream")
 	}
 }
--- a/internal/overload/request.go
+++ b/internal/overload/request.go
@@ -6,15 +6,16 @@
 type Request struct {
 	// Rank is the urgency; 0 is the most urgent.
 	Rank int
-	// Objective is the target for the time to first token; zero: none.
+	// Objective is the target for the time to first token. A request without one, zero, is
+	// never refused as TooLate.
 	Objective time.Duration
 	// TimeLeft is the time until the request's deadline; zero: not known.
 	TimeLeft time.Duration
-	// QueueTime is the expected time until the best replica starts the prefill, and
+	// QueueTime is the expected time until the chosen replica starts the prefill, and
 	// OwnPrefill the expected duration of the prefill.
 	QueueTime  time.Duration
 	OwnPrefill time.Duration
-	// MemoryUsed is the fraction of that replica's memory that its requests and this
-	// one take.
+	// MemoryUsed is the fraction of the chosen replica's memory that its requests and
+	// this one take.
 	MemoryUsed float64
 }
--- a/internal/overload/verdict.go
+++ b/internal/overload/verdict.go
@@ -9,7 +9,7 @@
 const (
 	// TooLate means that the expected queue time is too long for the objective or the deadline.
 	TooLate Reason = "late"
-	// MemoryFull means that no replica has enough memory.
+	// MemoryFull means that the chosen replica does not have enough memory.
 	MemoryFull Reason = "memory_full"
 	// MoreUrgentRefused means that a more urgent request was refused shortly before.
 	MoreUrgentRefused Reason = "more_urgent_refused"
@@ -24,4 +24,4 @@
 }
 
 // Refused reports whether the request is refused.
-func (v Decision) Refused() bool { return v.Reason != "" }
+func (d Decision) Refused() bool { return d.Reason != "" }
--- a/internal/passthrough/check.go
+++ b/internal/passthrough/check.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxKeyAgeFraction is the fraction of Bounds.RevokeAfter up to which the table's
-	// age allows the use of keys. The rest is a margin for clock drift.
+	// maxKeyAgeFraction times Bounds.RevokeAfter is the largest age of the table at which
+	// keys are accepted. The rest is a margin for clock drift.
 	maxKeyAgeFraction = 0.85
 	// defaultTimeout applies if the route has no timeout.
 	defaultTimeout = 30 * time.Second
@@ -25,7 +25,7 @@
 func (h *Handler) check(w http.ResponseWriter, r *http.Request, arrived time.Time) (*forward.Call, *rejection) {
 	snapshot := h.options.Routes.Get()
 	if snapshot.Table == nil {
-		return nil, &refuseNoConfiguration
+		return nil, &noConfigurationRejection
 	}
 	age := snapshot.Age(h.options.Clock())
 	table := snapshot.Table
@@ -33,7 +33,7 @@
 	path, _, _ := strings.Cut(target, "?")
 	matched, ok := table.Match(r.Host, path)
 	if !ok {
-		return nil, h.unlessStale(age, &refuseRoute)
+		return nil, h.unlessStale(age, &unknownRouteRejection)
 	}
 	headers := h.options.Codec.DecodeCaller(r.Header)
 	workspace, refusal := h.authenticate(table, matched, headers.Key, age)
@@ -64,19 +64,19 @@
 	return r.URL.RequestURI()
 }
 
-// authenticate checks the key, if the route needs one. age is the age of the table; no key
-// in the table was revoked longer ago than that.
+// authenticate checks the key, if the route needs one. age is the age of the table: every
+// key in it was valid that long ago.
 func (h *Handler) authenticate(table *route.Table, r *route.Route, key string, age time.Duration) (*route.Workspace, *rejection) {
 	if !table.NeedsKey(r) {
 		return nil, nil
 	}
 	revokeAfter := h.options.Bounds().RevokeAfter
 	if revokeAfter > 0 && age > time.Duration(maxKeyAgeFraction*float64(revokeAfter)) {
-		return nil, &refuseStale
+		return nil, &staleConfigurationRejection
 	}
 	workspace, ok := table.Workspace(key)
 	if !ok {
-		return nil, h.unlessStale(age, &refuseKey)
+		return nil, h.unlessStale(age, &unknownKeyRejection)
 	}
 	return workspace, nil
 }
@@ -85,7 +85,7 @@
 // one may contain the route or key.
 func (h *Handler) unlessStale(age time.Duration, final *rejection) *rejection {
 	if within := h.options.Bounds().ApplyWithin; within > 0 && age > within {
-		return &refuseStale
+		return &staleConfigurationRejection
 	}
 	return final
 }
@@ -126,9 +126,9 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, &refuseTooLarge
+		return nil, &bodyTooLargeRejection
 	case err != nil:
-		return nil, &refuseUnreadable
+		return nil, &bodyUnreadableRejection
 	default:
 		return body, nil
 	}
--- a/internal/passthrough/doc.go
+++ b/internal/passthrough/doc.go
@@ -4,6 +4,6 @@
 //
 // State is in memory: the number of requests in flight. A key is accepted only while the
 // routing table is known to be recent enough that the key cannot have been revoked for
-// longer than Bounds.RevokeAfter. In a longer platform outage requests to routes that
-// need a key are refused.
+// longer than Bounds.RevokeAfter. If a platform outage lasts longer than that, requests
+// to routes that need a key are refused.
 package passthrough
--- a/internal/passthrough/events.go
+++ b/internal/passthrough/events.go
@@ -6,7 +6,7 @@
 	"galenatrestle/internal/eventlog"
 )
 
-// requestRefused is logged for a request refused before any attempt.
+// requestRefused is logged for a request refused before any attempt to send it to a replica.
 type requestRefused struct {
 	id      string
 	host    string
--- a/internal/passthrough/handler.go
+++ b/internal/passthrough/handler.go
@@ -45,7 +45,7 @@
 	}
 	call, refusal := h.check(w, r, arrived)
 	if refusal == nil && call.Route.Streaming && h.refuseStreaming.Load() {
-		refusal = &refuseStopping
+		refusal = &stoppingRejection
 	}
 	if refusal != nil {
 		h.refuse(w, r, refusal)
--- a/internal/passthrough/handler_test.go
+++ b/internal/passthrough/handler_test.go
@@ -45,24 +45,24 @@
 
 func newHarness(t *testing.T) *harness {
 	t.Helper()
-	r := &harness{routes: routesource.New(document), now: 100 * second}
-	r.replica = forwardtest.NewReplica("i-0", "u", func(c *forwardtest.Conn) bool { return c.Answer(200, "done") })
-	fleet := forwardtest.NewFleet(t, r.replica)
-	r.Handler = New(Options{
-		Routes: r.routes, Forwarder: fleet.Forwarder, Codec: forwardtest.Codec{},
-		Clock: func() boottime.Instant { return r.now }, Random: func() float64 { return 0 },
+	h := &harness{routes: routesource.New(document), now: 100 * second}
+	h.replica = forwardtest.NewReplica("i-0", "u", func(c *forwardtest.Conn) bool { return c.Answer(200, "done") })
+	fleet := forwardtest.NewFleet(t, h.replica)
+	h.Handler = New(Options{
+		Routes: h.routes, Forwarder: fleet.Forwarder, Codec: forwardtest.Codec{},
+		Clock: func() boottime.Instant { return h.now }, Random: func() float64 { return 0 },
 		Bounds:    func() Bounds { return Bounds{RevokeAfter: 5 * time.Second, ApplyWithin: 2 * time.Second} },
 		NodeCount: func() int { return 1 }, Log: eventlog.New(io.Discard, "t"), Registry: prometheus.NewRegistry(),
 	})
-	return r
+	return h
 }
 
 // setConfiguration installs the configuration with the given age.
-func (r *harness) setConfiguration(age time.Duration) {
-	_, _ = r.routes.Take([]byte("x"), r.now.Add(-age))
+func (h *harness) setConfiguration(age time.Duration) {
+	_, _ = h.routes.Take([]byte("x"), h.now.Add(-age))
 }
 
-func (r *harness) send(path, key, body string) *httptest.ResponseRecorder {
+func (h *harness) send(path, key, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	request.Host = "h.example"
 	request.Header.Set(forwardtest.HeaderID, "c1")
@@ -70,7 +70,7 @@
 		request.Header.Set(forwardtest.HeaderKey, key)
 	}
 	w := httptest.NewRecorder()
-	r.ServeHTTP(w, request)
+	h.ServeHTTP(w, request)
 	return w
 }
 
@@ -102,22 +102,22 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newHarness(t)
+				h := newHarness(t)
 				if test.configured {
-					r.setConfiguration(test.age)
+					h.setConfiguration(test.age)
 				}
-				w := r.send(test.path, test.key, test.body)
+				w := h.send(test.path, test.key, test.body)
 				if w.Code != test.status {
 					t.Errorf("status %d, want %d", w.Code, test.status)
 				}
-				if ran := len(r.replica.Requests()) > 0; ran != (test.status == 200) {
-					t.Errorf("status %d, reached a replica: %v", w.Code, ran)
+				if reached := len(h.replica.Requests()) > 0; reached != (test.status == 200) {
+					t.Errorf("status %d, reached a replica: %v", w.Code, reached)
 				}
 				if (w.Code == 503) != (w.Header().Get("Retry-After") != "") {
 					t.Errorf("status %d with Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 				}
-				if w.Code == 200 && r.replica.Requests()[0].RequestURI != test.path {
-					t.Errorf("the replica received the target %s", r.replica.Requests()[0].RequestURI)
+				if w.Code == 200 && h.replica.Requests()[0].RequestURI != test.path {
+					t.Errorf("the replica received the target %s", h.replica.Requests()[0].RequestURI)
 				}
 			})
 		})
@@ -128,17 +128,17 @@
 // advances only the boot-time clock.
 func TestSuspendedVMDoesNotTrustItsOldTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t)
-		r.setConfiguration(0)
-		if w := r.send("/closed/x", "good", ""); w.Code != 200 {
+		h := newHarness(t)
+		h.setConfiguration(0)
+		if w := h.send("/closed/x", "good", ""); w.Code != 200 {
 			t.Fatalf("status %d before the suspension", w.Code)
 		}
-		r.now += 10 * second
-		if w := r.send("/closed/x", "good", ""); w.Code != 503 {
+		h.now += 10 * second
+		if w := h.send("/closed/x", "good", ""); w.Code != 503 {
 			t.Errorf("status %d after the VM was suspended for ten seconds", w.Code)
 		}
-		r.setConfiguration(0)
-		if w := r.send("/closed/x", "good", ""); w.Code != 200 {
+		h.setConfiguration(0)
+		if w := h.send("/closed/x", "good", ""); w.Code != 200 {
 			t.Errorf("status %d after a refresh of the configuration", w.Code)
 		}
 	})
@@ -158,17 +158,17 @@
 
 func TestStoppingHandlerClosesConnectionsAndRefusesStreaming(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t)
-		r.setConfiguration(0)
-		r.DisableKeepAlives()
-		if w := r.send("/open/x", "", ""); w.Code != 200 || w.Header().Get("Connection") != "close" {
+		h := newHarness(t)
+		h.setConfiguration(0)
+		h.DisableKeepAlives()
+		if w := h.send("/open/x", "", ""); w.Code != 200 || w.Header().Get("Connection") != "close" {
 			t.Errorf("status %d, Connection %q", w.Code, w.Header().Get("Connection"))
 		}
-		r.RefuseStreaming()
-		if w := r.send("/stream/x", "", ""); w.Code != 503 || w.Header().Get("Retry-After") == "" || w.Header().Get("Connection") != "close" {
+		h.RefuseStreaming()
+		if w := h.send("/stream/x", "", ""); w.Code != 503 || w.Header().Get("Retry-After") == "" || w.Header().Get("Connection") != "close" {
 			t.Errorf("streaming request: status %d, header %v", w.Code, w.Header())
 		}
-		if w := r.send("/open/x", "", ""); w.Code != 200 {
+		if w := h.send("/open/x", "", ""); w.Code != 200 {
 			t.Errorf("other request after RefuseStreaming: status %d", w.Code)
 		}
 	})
--- a/internal/passthrough/refusal.go
+++ b/internal/passthrough/refusal.go
@@ -32,13 +32,13 @@
 }
 
 var (
-	refuseNoConfiguration = rejection{noConfiguration, http.StatusServiceUnavailable, retryDelay}
-	refuseStale           = rejection{staleConfiguration, http.StatusServiceUnavailable, retryDelay}
-	refuseRoute           = rejection{unknownRoute, http.StatusNotFound, 0}
-	refuseKey             = rejection{unknownKey, http.StatusUnauthorized, 0}
-	refuseTooLarge        = rejection{bodyTooLarge, http.StatusRequestEntityTooLarge, 0}
-	refuseUnreadable      = rejection{bodyUnreadable, http.StatusBadRequest, 0}
-	refuseStopping        = rejection{stopping, http.StatusServiceUnavailable, time.Millisecond}
+	noConfigurationRejection    = rejection{noConfiguration, http.StatusServiceUnavailable, retryDelay}
+	staleConfigurationRejection = rejection{staleConfiguration, http.StatusServiceUnavailable, retryDelay}
+	unknownRouteRejection       = rejection{unknownRoute, http.StatusNotFound, 0}
+	unknownKeyRejection         = rejection{unknownKey, http.StatusUnauthorized, 0}
+	bodyTooLargeRejection       = rejection{bodyTooLarge, http.StatusRequestEntityTooLarge, 0}
+	bodyUnreadableRejection     = rejection{bodyUnreadable, http.StatusBadRequest, 0}
+	stoppingRejection           = rejection{stopping, http.StatusServiceUnavailable, time.Millisecond}
 )
 
 func (r *rejection) write(w http.ResponseWriter) {
--- a/internal/ratelimit/exchange.go
+++ b/internal/ratelimit/exchange.go
@@ -109,7 +109,7 @@
 func (e *Exchange) issue(requested Limit) Grant {
 	limit := e.options.Table.Newest(requested)
 	if limit.Lifted {
-		// The requesting node will learn soon that the limit was lifted.
+		// Nodes replicate that the limit was lifted, so the requesting node learns of it.
 		return Grant{RetryAfter: minPause}
 	}
 	return e.options.Issuer.Issue(time.Now(), limit, e.options.Share())
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -49,8 +49,8 @@
 	oneWayLatency = time.Millisecond
 )
 
-// fleet is the strategy under test: permits as issued by Issuer.
-type fleet struct {
+// permitStrategy is the strategy under test: permits as issued by Issuer.
+type permitStrategy struct {
 	scenario scenario
 	issuers  []*Issuer
 	// By node: pausedUntil is the time before which it requests no permit, learnsAt when it
@@ -61,19 +61,20 @@
 
 const limitedReplica = "i-1"
 
-func newFleet(l scenario, random *rand.Rand) *fleet {
-	f := &fleet{scenario: l, pausedUntil: make([]time.Duration, l.nodes)}
-	for range l.nodes {
+func newPermitStrategy(s scenario, random *rand.Rand) *permitStrategy {
+	f := &permitStrategy{scenario: s, pausedUntil: make([]time.Duration, s.nodes)}
+	for range s.nodes {
 		f.issuers = append(f.issuers, NewIssuer())
 		f.learnsAt = append(f.learnsAt, time.Duration(random.Int64N(int64(maxPropagationTime))))
-		f.detectsAt = append(f.detectsAt, l.issuerKilledAt+time.Duration(random.Int64N(int64(maxDetectionTime))))
+		f.detectsAt = append(f.detectsAt, s.issuerKilledAt+time.Duration(random.Int64N(int64(maxDetectionTime))))
 	}
 	return f
 }
 
-// issuerOf returns the node that the given node considers the issuer: node 0, node 1 once the
-// failure of node 0 is detected, and the last node in the other half of a partition.
-func (f *fleet) issuerOf(now time.Duration, node int) int {
+// issuerOf returns the node that the given node considers the issuer: node 0, or node 1 once
+// the given node detects that node 0 was killed. During a partition, nodes in the half without
+// node 0 consider the last node the issuer.
+func (f *permitStrategy) issuerOf(now time.Duration, node int) int {
 	if f.partitioned(now) && node >= f.scenario.nodes/2 {
 		return f.scenario.nodes - 1
 	}
@@ -83,19 +84,19 @@
 	return 0
 }
 
-func (f *fleet) partitioned(now time.Duration) bool {
+func (f *permitStrategy) partitioned(now time.Duration) bool {
 	return f.scenario.partitionedAt > 0 && now >= f.scenario.partitionedAt+maxDetectionTime
 }
 
 // share returns the fraction of the nodes that an issuer reaches.
-func (f *fleet) share(now time.Duration) float64 {
+func (f *permitStrategy) share(now time.Duration) float64 {
 	if f.partitioned(now) {
 		return 0.5
 	}
 	return 1
 }
 
-func (f *fleet) allow(now time.Duration, node int) bool {
+func (f *permitStrategy) allow(now time.Duration, node int) bool {
 	if now < f.learnsAt[node] {
 		return true
 	}
@@ -114,7 +115,7 @@
 
 // requestPermit returns the issuer's grant for a request that arrives at the given time, and
 // false if the issuer is dead or unreachable.
-func (f *fleet) requestPermit(at time.Duration, node int) (Grant, bool) {
+func (f *permitStrategy) requestPermit(at time.Duration, node int) (Grant, bool) {
 	f.permitRequests++
 	issuer := f.issuerOf(at, node)
 	unreachable := f.scenario.partitionedAt > 0 && at >= f.scenario.partitionedAt && (issuer < f.scenario.nodes/2) != (node < f.scenario.nodes/2)
@@ -130,37 +131,37 @@
 
 // evenSplit gives each node an equal fraction of the rate.
 type evenSplit struct {
-	*fleet
+	*permitStrategy
 	limiters []*rate.Limiter
 }
 
-func newEvenSplit(l scenario, random *rand.Rand) strategy {
-	w := &evenSplit{fleet: newFleet(l, random)}
-	for range l.nodes {
+func newEvenSplit(s scenario, random *rand.Rand) strategy {
+	e := &evenSplit{permitStrategy: newPermitStrategy(s, random)}
+	for range s.nodes {
 		// The limiters start at random phases.
-		limiter := rate.NewLimiter(rate.Limit(l.limit/float64(l.nodes)), 1)
-		limiter.AllowN(epoch.Add(-time.Duration(random.Float64()*float64(l.nodes)/l.limit*float64(time.Second))), 1)
-		w.limiters = append(w.limiters, limiter)
+		limiter := rate.NewLimiter(rate.Limit(s.limit/float64(s.nodes)), 1)
+		limiter.AllowN(epoch.Add(-time.Duration(random.Float64()*float64(s.nodes)/s.limit*float64(time.Second))), 1)
+		e.limiters = append(e.limiters, limiter)
 	}
-	return w
+	return e
 }
 
-func (w *evenSplit) allow(now time.Duration, node int) bool {
-	return now < w.learnsAt[node] || w.limiters[node].AllowN(epoch.Add(now), 1)
+func (e *evenSplit) allow(now time.Duration, node int) bool {
+	return now < e.learnsAt[node] || e.limiters[node].AllowN(epoch.Add(now), 1)
 }
 
 // singleSender lets only one node send to the replica.
 type singleSender struct {
-	*fleet
+	*permitStrategy
 	limiter *rate.Limiter
 }
 
-func newSingleSender(l scenario, random *rand.Rand) strategy {
-	return &singleSender{newFleet(l, random), rate.NewLimiter(rate.Limit(l.limit), 1)}
+func newSingleSender(s scenario, random *rand.Rand) strategy {
+	return &singleSender{newPermitStrategy(s, random), rate.NewLimiter(rate.Limit(s.limit), 1)}
 }
 
-func (w *singleSender) allow(now time.Duration, node int) bool {
-	return now < w.learnsAt[node] || node == w.issuerOf(now, node) && w.limiter.AllowN(epoch.Add(now), 1)
+func (s *singleSender) allow(now time.Duration, node int) bool {
+	return now < s.learnsAt[node] || node == s.issuerOf(now, node) && s.limiter.AllowN(epoch.Add(now), 1)
 }
 
 // simulationResult is the outcome of a simulation.
@@ -171,26 +172,26 @@
 }
 
 // simulate sends the scenario's requests, each to a random replica.
-func simulate(l scenario, w strategy, random *rand.Rand) simulationResult {
+func simulate(s scenario, strat strategy, random *rand.Rand) simulationResult {
 	var arrivals []time.Duration
 	const tick = time.Millisecond
-	for now := time.Duration(0); now < l.length; now += tick {
-		for due := l.requestRate * tick.Seconds(); due > 0; due-- {
-			if random.Float64() < due && random.IntN(l.replicas) == 0 && w.allow(now, random.IntN(l.nodes)) && now >= boundFrom {
+	for now := time.Duration(0); now < s.length; now += tick {
+		for due := s.requestRate * tick.Seconds(); due > 0; due-- {
+			if random.Float64() < due && random.IntN(s.replicas) == 0 && strat.allow(now, random.IntN(s.nodes)) && now >= boundFrom {
 				arrivals = append(arrivals, now)
 			}
 		}
 	}
-	first, most := 0, 0
+	first, largest := 0, 0
 	for last, at := range arrivals {
 		for at-arrivals[first] >= boundWindow {
 			first++
 		}
-		most = max(most, last-first+1)
+		largest = max(largest, last-first+1)
 	}
 	return simulationResult{
-		peak: float64(most) / (boundFactor*l.limit*boundWindow.Seconds() + boundAllowance),
-		used: float64(len(arrivals)) / (l.limit * (l.length - boundFrom).Seconds()),
+		peak: float64(largest) / (boundFactor*s.limit*boundWindow.Seconds() + boundAllowance),
+		used: float64(len(arrivals)) / (s.limit * (s.length - boundFrom).Seconds()),
 	}
 }
 
@@ -209,18 +210,18 @@
 
 // Guards against nodes that each respect the rate but exceed it together.
 func TestAllNodesTogetherKeepToTheRate(t *testing.T) {
-	for name, l := range scenarios {
+	for name, s := range scenarios {
 		t.Run(name, func(t *testing.T) {
-			l.length = 40 * time.Second
+			s.length = 40 * time.Second
 			for seed := range uint64(4) {
 				random := rand.New(rand.NewPCG(seed, 1))
-				got := simulate(l, newFleet(l, random), random)
+				got := simulate(s, newPermitStrategy(s, random), random)
 				t.Logf("seed %d: fullest window %.2f of what is allowed, %.2f of the rate used", seed, got.peak, got.used)
 				if got.peak > 1 {
 					t.Errorf("seed %d: %.2f times the bound in a window", seed, got.peak)
 				}
 				if got.used == 0 {
-					t.Errorf("seed %d: no requests to the replica, so a higher rate would go unnoticed", seed)
+					t.Errorf("seed %d: no requests to the replica, so nodes would not learn that it raised its rate", seed)
 				}
 			}
 		})
@@ -231,23 +232,23 @@
 // bound, the fraction of the rate used, and the permit requests per second.
 func BenchmarkStrategies(b *testing.B) {
 	strategies := map[string]func(scenario, *rand.Rand) strategy{
-		"permits":    func(l scenario, random *rand.Rand) strategy { return newFleet(l, random) },
+		"permits":    func(s scenario, random *rand.Rand) strategy { return newPermitStrategy(s, random) },
 		"even parts": newEvenSplit,
 		"one node":   newSingleSender,
 	}
-	for name, l := range scenarios {
+	for name, s := range scenarios {
 		for strategyName, newStrategy := range strategies {
 			b.Run(fmt.Sprintf("%s/%s", name, strategyName), func(b *testing.B) {
-				l.length = 40 * time.Second
+				s.length = 40 * time.Second
 				for b.Loop() {
 					var peak, used, permitRequests float64
 					for seed := range uint64(4) {
 						random := rand.New(rand.NewPCG(seed, 1))
-						w := newStrategy(l, random)
-						got := simulate(l, w, random)
+						strat := newStrategy(s, random)
+						got := simulate(s, strat, random)
 						peak, used = max(peak, got.peak), used+got.used/4
-						if f, ok := w.(*fleet); ok {
-							permitRequests += float64(f.permitRequests) / l.length.Seconds() / 4
+						if f, ok := strat.(*permitStrategy); ok {
+							permitRequests += float64(f.permitRequests) / s.length.Seconds() / 4
 						}
 					}
 					b.ReportMetric(permitRequests, "asks/s")
--- a/internal/ratelimit/issuer_test.go
+++ b/internal/ratelimit/issuer_test.go
@@ -41,7 +41,7 @@
 		t.Errorf("%+v", g)
 	}
 	if g := i.Issue(epoch.Add(g.RetryAfter), Limit{Replica: "i-1", PerSecond: 2}, 1); !g.Granted {
-		t.Errorf("%+v after RetryAfter", g)
+		t.Errorf("request after RetryAfter: %+v, want a permit", g)
 	}
 }
 
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -7,7 +7,7 @@
 	// Replica and StartedAt identify the process, as in its registration.
 	Replica   string
 	StartedAt int64
-	// PerSecond is the rate in requests per second, over all nodes.
+	// PerSecond is the rate in requests per second of all nodes together.
 	PerSecond float64
 	// Lifted means that the replica no longer announces a rate.
 	Lifted bool
--- a/internal/ratelimit/permits.go
+++ b/internal/ratelimit/permits.go
@@ -12,7 +12,8 @@
 	// minPause is the shortest time without permit requests for a replica after one was
 	// refused.
 	minPause = 100 * time.Millisecond
-	// unansweredPause is that time after the issuer did not respond.
+	// unansweredPause is the time without permit requests for a replica after the issuer
+	// did not respond, or the node asked does not issue permits for the replica.
 	unansweredPause = 250 * time.Millisecond
 )
 
--- a/internal/ratelimit/proto.go
+++ b/internal/ratelimit/proto.go
@@ -16,8 +16,8 @@
 	return messages
 }
 
-// FromProto converts the limits received in a call that began at the given instant, which
-// their ages are subtracted from.
+// FromProto converts the limits received in a call that began at callStart. A limit's
+// ObservedAt is callStart minus its age.
 func FromProto(messages []*ratelimitv1.Limit, callStart boottime.Instant) []Limit {
 	limits := make([]Limit, 0, len(messages))
 	for _, l := range messages {
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -24,7 +24,7 @@
 	return &Table{clock: clock, known: make(map[string]Limit)}
 }
 
-// Now returns the current instant of the clock that limits are dated by.
+// Now returns the current instant of the clock used for Limit.ObservedAt.
 func (t *Table) Now() boottime.Instant { return t.clock() }
 
 // InForce returns the limits in force by replica ID, nil for none. The map is shared and must
@@ -37,14 +37,15 @@
 	return *limits
 }
 
-// Observe updates the table from a response. It returns the resulting limit and whether the
-// limit changed.
-func (t *Table) Observe(a Observation) (Limit, bool) {
+// Observe updates the table from a response. It returns the response's limit and whether it
+// changed the one in the table. A response without a rate that lifts no limit returns the
+// zero Limit.
+func (t *Table) Observe(observation Observation) (Limit, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := Limit{Replica: a.Replica.ID, StartedAt: a.Replica.StartedAt, PerSecond: a.PerSecond, Lifted: !a.Limited, ObservedAt: a.ReceivedAt}
+	l := Limit{Replica: observation.Replica.ID, StartedAt: observation.Replica.StartedAt, PerSecond: observation.PerSecond, Lifted: !observation.Limited, ObservedAt: observation.ReceivedAt}
 	old, known := t.known[l.Replica]
-	if l.Lifted && !(known && !old.Lifted && a.Succeeded && a.SentAt > old.ObservedAt) {
+	if l.Lifted && !(known && !old.Lifted && observation.Succeeded && observation.SentAt > old.ObservedAt) {
 		// Only a successful response to a request sent after the last announcement of the
 		// limit lifts it.
 		return Limit{}, false
@@ -75,7 +76,8 @@
 	return l
 }
 
-// ForPeers returns the limits to send to other nodes: those in force and those lifted recently.
+// ForPeers returns the limits to send to other nodes: those in force and those lifted recently,
+// at most maxPeerLimits.
 func (t *Table) ForPeers() []Limit {
 	now := t.clock()
 	t.mu.Lock()
@@ -91,14 +93,14 @@
 
 const (
 	// liftedRetention is how long a lifted limit is sent to other nodes. It covers tens of
-	// exchange rounds.
+	// message exchanges between nodes.
 	liftedRetention = 10 * time.Second
 	// maxPeerLimits bounds the number of limits in one message.
 	maxPeerLimits = 256
 )
 
-// merge stores the limit unless the stored one is newer, and reports whether anything but its
-// age changed. The lock is held.
+// merge stores the limit if it is newer than the stored one, and reports whether anything but
+// its age changed. A lifted limit of an unknown replica is not a change. The lock is held.
 func (t *Table) merge(l Limit) bool {
 	old, known := t.known[l.Replica]
 	if known && l.ObservedAt <= old.ObservedAt {
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -29,7 +29,7 @@
 		t.Fatal("a response without a rate changed the table")
 	}
 	if l, changed := table.Observe(limitedResponse(1.5, 5, 10)); !changed || l.PerSecond != 1.5 || table.InForce()["i-1"] != l {
-		t.Fatalf("changed %v, limits %v", changed, table.InForce())
+		t.Fatalf("after a response with a rate: changed %v, limits %v", changed, table.InForce())
 	}
 	if _, changed := table.Observe(limitedResponse(1.5, 11, 20)); changed {
 		t.Error("the same rate was reported as a change")
@@ -43,7 +43,7 @@
 		t.Error("lifted by a failed response")
 	}
 	if l, changed := table.Observe(unlimitedResponse(25, 40)); !changed || !l.Lifted || len(table.InForce()) != 0 {
-		t.Errorf("changed %v, limits %v", changed, table.InForce())
+		t.Errorf("after a later response without a rate: changed %v, limits %v", changed, table.InForce())
 	}
 }
 
@@ -66,6 +66,6 @@
 	table.Forget("i-2")
 	table.Forget("i-1")
 	if len(table.InForce()) != 0 {
-		t.Errorf("limits %v", table.InForce())
+		t.Errorf("limits %v after Forget", table.InForce())
 	}
 }
--- a/internal/replicaconn/conn.go
+++ b/internal/replicaconn/conn.go
@@ -28,8 +28,8 @@
 	// idleTimeout is the replica's announced keep-alive timeout; zero: none.
 	idleTimeout time.Duration
 	idleSince   time.Time
-	// bytesSent counts the bytes of the current request written to the socket; a background
-	// write starts at 1.
+	// bytesSent counts the bytes of the current request written to the socket. It is set
+	// to 1 before a background write.
 	bytesSent    atomic.Int64
 	pendingWrite sync.WaitGroup
 	// sentAll is set once the whole request was written to the socket.
@@ -101,8 +101,9 @@
 	})
 }
 
-// Release returns the connection to the pool if the last response was read completely and
-// allows reuse; otherwise it closes the connection.
+// Release returns the connection to the pool if the response allows reuse, the whole request
+// was written and no unconsumed bytes are buffered; otherwise it closes the connection. The
+// caller must have read the response body completely.
 func (c *Conn) Release(response *http.Response) {
 	if response.Close || !c.SentAll() || c.Buffered() {
 		c.Close()
--- a/internal/replicaconn/pool.go
+++ b/internal/replicaconn/pool.go
@@ -13,17 +13,18 @@
 
 const (
 	// DefaultDialTimeout bounds the establishment of a connection, after which the
-	// request is sent to another replica. Replicas are a few milliseconds away.
+	// request is sent to another replica. The round-trip time to
+	// replicas is a few milliseconds.
 	DefaultDialTimeout = 250 * time.Millisecond
 	// maxIdleTime is the longest time that an idle connection is kept.
 	maxIdleTime = 4 * time.Second
 	// idleMargin is subtracted from the replica's keep-alive timeout, so that the
-	// replica does not close the connection while a request is on its way.
+	// replica does not close the connection while a request is in transit.
 	idleMargin = 700 * time.Millisecond
 	// maxIdlePerReplica bounds the idle connections to one replica.
 	maxIdlePerReplica = 8
-	// unackedTimeout closes a connection whose sent data is not acknowledged, since a
-	// broken network path may not produce a reset.
+	// unackedTimeout is how long sent data may remain unacknowledged before the
+	// connection is closed, since a broken network path may not produce a reset.
 	unackedTimeout = 3 * time.Second
 	// TCP keep-alive: the first probe is sent after probeIdle without traffic, further
 	// ones every probeInterval; the connection is closed after probeCount unanswered ones.
@@ -61,7 +62,8 @@
 	return &Pool{dial: dial, onOpen: onOpen, replicas: make(map[string]*connections)}
 }
 
-// TCPDial returns a Dial with the timeout whose connections detect a broken network path.
+// TCPDial returns a Dial for TCP with the given dial timeout. Its connections close on a broken
+// network path, by keep-alive probes and TCP_USER_TIMEOUT.
 func TCPDial(timeout time.Duration) Dial {
 	dialer := &net.Dialer{
 		Timeout: timeout,
@@ -117,7 +119,7 @@
 	return &Conn{pool: p, replica: replica, netConn: conn, reader: bufio.NewReaderSize(conn, readBufferSize)}, nil
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT. Errors are ignored: keep-alive probes and the
+// setUserTimeout sets TCP_USER_TIMEOUT to unackedTimeout. Errors are ignored: keep-alive probes and the
 // request's deadline still apply.
 func setUserTimeout(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
@@ -201,6 +203,8 @@
 	c.Close()
 }
 
+// reserve counts a new connection as open. It reports false if limit connections are open
+// already (zero: no limit).
 func (p *Pool) reserve(replica string, limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -219,13 +223,13 @@
 func (p *Pool) unreserve(replica string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.releaseLocked(replica)
+	p.unreserveLocked(replica)
 }
 
 func (p *Pool) connClosed(c *Conn) { p.unreserve(c.replica) }
 
-// releaseLocked decrements the count of open connections. The lock is held.
-func (p *Pool) releaseLocked(replica string) {
+// unreserveLocked decrements the count of open connections. The lock is held.
+func (p *Pool) unreserveLocked(replica string) {
 	conns, ok := p.replicas[replica]
 	if !ok {
 		return
--- a/internal/replicaconn/pool_test.go
+++ b/internal/replicaconn/pool_test.go
@@ -34,16 +34,16 @@
 	return listener.Addr().String(), conns
 }
 
-// roundTrip sends a request, has the far end write the answer, and reads the response.
-func roundTrip(t *testing.T, c *Conn, far net.Conn, answer string) (*http.Response, error) {
+// roundTrip sends a request, writes rawResponse on the server's side, and reads the response.
+func roundTrip(t *testing.T, c *Conn, server net.Conn, rawResponse string) (*http.Response, error) {
 	t.Helper()
 	if err := c.Send(&Request{Method: "GET", Target: "/", Host: "h"}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := far.Read(make([]byte, 1024)); err != nil {
+	if _, err := server.Read(make([]byte, 1024)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.WriteString(far, answer); err != nil {
+	if _, err := io.WriteString(server, rawResponse); err != nil {
 		t.Fatal(err)
 	}
 	return c.Receive("GET")
@@ -58,20 +58,20 @@
 	return c
 }
 
-const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 func TestClosedOrUnreadIdleConnectionIsNotReused(t *testing.T) {
-	for name, disturb := range map[string]func(net.Conn){
-		"a late second answer": func(far net.Conn) { _, _ = io.WriteString(far, wholeAnswer) },
-		"closed":               func(far net.Conn) { _ = far.Close() },
-		"reset":                func(far net.Conn) { _ = far.(*net.TCPConn).SetLinger(0); _ = far.Close() },
+	for name, serverAction := range map[string]func(net.Conn){
+		"a late second answer": func(server net.Conn) { _, _ = io.WriteString(server, okResponse) },
+		"closed":               func(server net.Conn) { _ = server.Close() },
+		"reset":                func(server net.Conn) { _ = server.(*net.TCPConn).SetLinger(0); _ = server.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			address, conns := listen(t)
 			p := NewPool(TCPDial(time.Second), nil)
 			c := open(t, p, address)
-			far := <-conns
-			response, err := roundTrip(t, c, far, wholeAnswer)
+			server := <-conns
+			response, err := roundTrip(t, c, server, okResponse)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -81,8 +81,8 @@
 				t.Fatal("an idle connection was not reused")
 			}
 			c.Release(response)
-			disturb(far)
-			// The far end's change may take a moment to pass the loopback device.
+			serverAction(server)
+			// The loopback device may deliver the server's data or close with a delay.
 			for openAndEmpty(c.netConn) {
 			}
 			if again := open(t, p, address); again == c {
@@ -100,8 +100,8 @@
 		t.Run(name, func(t *testing.T) {
 			address, conns := listen(t)
 			c := open(t, NewPool(TCPDial(time.Second), nil), address)
-			far := <-conns
-			response, err := roundTrip(t, c, far, "HTTP/1.1 200 OK\r\n\r\nbody without a length")
+			server := <-conns
+			response, err := roundTrip(t, c, server, "HTTP/1.1 200 OK\r\n\r\nbody without a length")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -109,8 +109,8 @@
 			if _, err := io.ReadFull(response.Body, first); err != nil {
 				t.Fatal(err)
 			}
-			_ = far.(*net.TCPConn).SetLinger(test.linger)
-			_ = far.Close()
+			_ = server.(*net.TCPConn).SetLinger(test.linger)
+			_ = server.Close()
 			_, err = io.ReadAll(response.Body)
 			if (err == nil) != test.complete {
 				t.Errorf("error %v, want complete body %v", err, test.complete)
@@ -135,11 +135,11 @@
 		t.Fatal(err)
 	}
 	for name, option := range map[string]struct{ level, option, want int }{
-		"unacknowledged bytes, in ms": {unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds())},
-		"probes":                      {unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
-		"probe count":                 {unix.IPPROTO_TCP, unix.TCP_KEEPCNT, probeCount},
-		"seconds to the first probe":  {unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int((probeIdle + time.Second - 1) / time.Second)},
-		"seconds between probes":      {unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int((probeInterval + time.Second - 1) / time.Second)},
+		"TCP_USER_TIMEOUT, in ms":    {unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds())},
+		"probes":                     {unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
+		"probe count":                {unix.IPPROTO_TCP, unix.TCP_KEEPCNT, probeCount},
+		"seconds to the first probe": {unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int((probeIdle + time.Second - 1) / time.Second)},
+		"seconds between probes":     {unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int((probeInterval + time.Second - 1) / time.Second)},
 	} {
 		var got int
 		_ = raw.Control(func(fd uintptr) { got, err = unix.GetsockoptInt(int(fd), option.level, option.option) })
@@ -161,12 +161,12 @@
 		t.Fatal(err)
 	}
 	if _, err := p.Open(t.Context(), "i-1", address, 1); !errors.Is(err, ErrTooManyConnections) {
-		t.Errorf("second connection: %v", err)
+		t.Errorf("second connection: error %v, want ErrTooManyConnections", err)
 	}
 	first.Close()
 	first.Close()
 	if _, err := p.Open(t.Context(), "i-1", address, 1); err != nil {
-		t.Errorf("after the first was closed: %v", err)
+		t.Errorf("new connection after the first was closed: %v", err)
 	}
 }
 
