--- a/internal/claim/answer.go
+++ b/internal/claim/answer.go
@@ -8,7 +8,7 @@
 	// Header contains only the headers selected for retention.
 	Header http.Header
 	Body   []byte
-	// BodyDropped reports that the body was not retained, because it exceeded the size
-	// limit or its retention has expired. Status is still that of the recorded response.
+	// BodyDropped reports that only the status is retained, because the answer exceeded
+	// the size limit, its retention has expired, or the ledger was nearly full.
 	BodyDropped bool
 }
--- a/internal/claim/apply_test.go
+++ b/internal/claim/apply_test.go
@@ -25,24 +25,24 @@
 	return ended
 }
 
-func beginOf(attempt int, content Fingerprint, gone bool) BeginCommand {
+func beginOf(attempt int, content Fingerprint, processEnded bool) BeginCommand {
 	return BeginCommand{
 		Key: modelKey, CallFingerprint: content, Attempt: attemptNumber(attempt), Node: "n1", Now: modelNow,
-		ProcessEnded: func(string, uuid.UUID) bool { return gone },
+		ProcessEnded: func(string, uuid.UUID) bool { return processEnded },
 	}
 }
 
 func TestApplyBegin(t *testing.T) {
-	other := FingerprintOf("POST", "/claims", []byte("other"))
+	otherContent := FingerprintOf("POST", "/claims", []byte("other"))
 	cases := []struct {
-		name    string
-		phase   claimv1.Phase
-		attempt int
-		content Fingerprint
-		gone    bool
-		verdict Verdict
-		refused refusal.Reason
-		after   claimv1.Phase
+		name         string
+		phase        claimv1.Phase
+		attempt      int
+		content      Fingerprint
+		processEnded bool
+		verdict      Verdict
+		refused      refusal.Reason
+		after        claimv1.Phase
 	}{
 		{"new", 0, 2, modelContent, false, Run, "", phaseInProgress},
 		{"same attempt again", phaseInProgress, 1, modelContent, false, Run, "", phaseInProgress},
@@ -52,12 +52,12 @@
 		{"repeat of an unknown claim", phaseUnknown, 2, modelContent, true, Unknown, "", phaseUnknown},
 		{"repeat of a released claim", phaseReleased, 2, modelContent, false, Run, "", phaseInProgress},
 		{"delayed duplicate of a released attempt", phaseReleased, 1, modelContent, false, 0, refusal.ClaimStoreDown, phaseReleased},
-		{"other content while in progress", phaseInProgress, 2, other, false, 0, refusal.IdempotencyKeyReused, phaseInProgress},
-		{"other content after the record", phaseRecorded, 2, other, false, 0, refusal.IdempotencyKeyReused, phaseRecorded},
-		{"other content after a release", phaseReleased, 2, other, false, Run, "", phaseInProgress},
+		{"other content while in progress", phaseInProgress, 2, otherContent, false, 0, refusal.IdempotencyKeyReused, phaseInProgress},
+		{"other content after the record", phaseRecorded, 2, otherContent, false, 0, refusal.IdempotencyKeyReused, phaseRecorded},
+		{"other content after a release", phaseReleased, 2, otherContent, false, Run, "", phaseInProgress},
 	}
 	for _, test := range cases {
-		after, decision := Apply(recordInPhase(test.phase), beginOf(test.attempt, test.content, test.gone))
+		after, decision := Apply(recordInPhase(test.phase), beginOf(test.attempt, test.content, test.processEnded))
 		if decision.Verdict != test.verdict || decision.Refused != test.refused || after.GetPhase() != test.after {
 			t.Errorf("%s: got %+v and %v", test.name, decision, after.GetPhase())
 		}
@@ -95,14 +95,14 @@
 
 // A release may arrive before its claim; the delayed claim must not run.
 func TestReleaseBeforeItsClaim(t *testing.T) {
-	b := newRingHarness(t, smallPolicy())
-	b.finish(keyNumber(1), attemptNumber(1), phaseReleased, nil)
-	b.write()
-	b.now = b.now.Add(time.Second)
-	if got := b.begin(keyNumber(1), attemptNumber(1), ""); got.Refused != refusal.ClaimStoreDown {
+	harness := newRingHarness(t, smallPolicy())
+	harness.finish(keyNumber(1), attemptNumber(1), phaseReleased, nil)
+	harness.write()
+	harness.now = harness.now.Add(time.Second)
+	if got := harness.begin(keyNumber(1), attemptNumber(1), ""); got.Refused != refusal.ClaimStoreDown {
 		t.Errorf("the delayed duplicate got %+v", got)
 	}
-	if got := b.begin(keyNumber(1), attemptNumber(2), ""); got.Verdict != Run {
+	if got := harness.begin(keyNumber(1), attemptNumber(2), ""); got.Verdict != Run {
 		t.Errorf("the repeat got %+v", got)
 	}
 }
--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -15,12 +15,12 @@
 // The load of BenchmarkLedger: an open-loop arrival of calls, each claimed and recorded
 // immediately.
 const (
-	benchRate    = 2_000
-	benchTick    = 5 * time.Millisecond
-	benchTime    = 3 * time.Second
-	benchWarmUp  = time.Second
-	benchLatency = 3 * time.Millisecond
-	benchOneWay  = time.Millisecond
+	benchRate         = 2_000
+	benchTick         = 5 * time.Millisecond
+	benchTime         = 3 * time.Second
+	benchWarmUp       = time.Second
+	benchLatency      = 3 * time.Millisecond
+	benchNetworkDelay = time.Millisecond
 )
 
 var benchAnswer = Answer{
@@ -36,13 +36,13 @@
 	refused  int
 }
 
-func (l *ledgerLoad) oneCall(ctx context.Context, node *testNode, number int) {
+func (l *ledgerLoad) makeCall(ctx context.Context, node *testNode, number int) {
 	key := Key{Workspace: "workspace-7", Upstream: "member-ledger", IdempotencyKey: fmt.Sprintf("claim-%08d", number)}
 	start := time.Now()
-	grant, err := node.Begin(ctx, key, Fingerprint{})
+	result, err := node.Begin(ctx, key, Fingerprint{})
 	begun := time.Now()
 	if err == nil {
-		err = node.Finish(ctx, grant.Token, Outcome{Kind: OutcomeRecorded, Answer: benchAnswer})
+		err = node.Finish(ctx, result.Token, Outcome{Kind: OutcomeRecorded, Answer: benchAnswer})
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +64,7 @@
 		due := first + int(time.Duration(tick+1)*time.Duration(rate)*benchTick/time.Second)
 		for ; sent < due; sent++ {
 			number := sent
-			group.Go(func() { l.oneCall(ctx, nodes[number%len(nodes)], number) })
+			group.Go(func() { l.makeCall(ctx, nodes[number%len(nodes)], number) })
 		}
 	}
 	group.Wait()
@@ -79,7 +79,7 @@
 // claims per second for several shard and segment sizes, and with and without batching
 // at several rates. The platform responds in 3 ms; a message between nodes takes 1 ms.
 func BenchmarkLedger(b *testing.B) {
-	ways := []struct {
+	configs := []struct {
 		name                     string
 		shards, segments, segKiB int
 	}{
@@ -93,40 +93,40 @@
 		{"shards=4/segment=256KiB", 4, 32, 256},
 		{"shards=4/one_value=512KiB", 4, 2, 512},
 	}
-	for _, way := range ways {
-		b.Run(way.name, func(b *testing.B) {
+	for _, config := range configs {
+		b.Run(config.name, func(b *testing.B) {
 			for range b.N {
-				measureLedger(b, benchRate, way.shards, way.segments, way.segKiB, 0)
+				measureLedger(b, benchRate, config.shards, config.segments, config.segKiB, 0)
 			}
 		})
 	}
 	for _, rate := range []int{20, 200, 1000, 2000, 4000} {
-		for _, gather := range []time.Duration{-1, DefaultFlushInterval} {
-			b.Run(fmt.Sprintf("gather=%v/rate=%d", gather, rate), func(b *testing.B) {
+		for _, flushInterval := range []time.Duration{-1, DefaultFlushInterval} {
+			b.Run(fmt.Sprintf("gather=%v/rate=%d", flushInterval, rate), func(b *testing.B) {
 				for range b.N {
-					measureLedger(b, rate, 4, 512, 16, gather)
+					measureLedger(b, rate, 4, 512, 16, flushInterval)
 				}
 			})
 		}
 	}
 }
 
-func measureLedger(b *testing.B, rate, shards, segments, segKiB int, gather time.Duration) {
+func measureLedger(b *testing.B, rate, shards, segments, segKiB int, flushInterval time.Duration) {
 	c := newCluster()
 	c.store.latency = benchLatency
-	c.oneWay = benchOneWay
-	change := func(options *Options) {
-		options.FlushInterval = gather
+	c.networkDelay = benchNetworkDelay
+	configure := func(options *Options) {
+		options.FlushInterval = flushInterval
 		options.Policy.Shards = shards
 		options.Policy.Segments = segments
 		options.Policy.SegmentBytes = segKiB << 10
 	}
 	var nodes []*testNode
 	for _, name := range []string{"n1", "n2", "n3", "n4"} {
-		nodes = append(nodes, c.start(b, name, change))
+		nodes = append(nodes, c.start(b, name, configure))
 	}
-	warm, load := &ledgerLoad{}, &ledgerLoad{}
-	warm.run(b.Context(), nodes, rate, 0, benchWarmUp)
+	warmUp, load := &ledgerLoad{}, &ledgerLoad{}
+	warmUp.run(b.Context(), nodes, rate, 0, benchWarmUp)
 	c.store.mu.Lock()
 	c.store.writes, c.store.bytes = 0, 0
 	c.store.mu.Unlock()
@@ -168,34 +168,34 @@
 }
 
 func measureRetained(b *testing.B, policy Policy, claims int, body []byte) {
-	bench := newRingHarness(b, policy)
+	harness := newRingHarness(b, policy)
 	for n := range claims {
-		bench.begin(keyNumber(n), attemptNumber(n), "")
+		harness.begin(keyNumber(n), attemptNumber(n), "")
 		if n%10 == 9 {
-			bench.write()
+			harness.write()
 		}
 		if n >= 50 {
-			bench.finish(keyNumber(n-50), attemptNumber(n-50), phaseRecorded, body)
+			harness.finish(keyNumber(n-50), attemptNumber(n-50), phaseRecorded, body)
 		}
 	}
-	bench.write()
+	harness.write()
 	stored := 0
-	for _, entry := range bench.entries {
+	for _, entry := range harness.entries {
 		stored += len(entry.Value)
 	}
-	encoded := bench.ring.bytes
-	bench.ring = nil
+	encoded := harness.ring.bytes
+	harness.ring = nil
 	before := heap()
 	start := time.Now()
-	bench.recover(policy, 2)
+	harness.recover(policy, 2)
 	took := time.Since(start)
 	used := heap() - before
 	b.ReportMetric(float64(used)/float64(claims), "heap-B/claim")
 	b.ReportMetric(float64(encoded)/float64(claims), "record-B/claim")
 	b.ReportMetric(float64(stored)/float64(claims), "stored-B/claim")
 	b.ReportMetric(took.Seconds()*1e6/float64(claims), "recover-us/claim")
-	if len(bench.ring.index) != claims {
-		b.Fatalf("%d claims after recovery", len(bench.ring.index))
+	if len(harness.ring.index) != claims {
+		b.Fatalf("%d claims after recovery", len(harness.ring.index))
 	}
 }
 
@@ -210,15 +210,15 @@
 func BenchmarkRing(b *testing.B) {
 	policy := DefaultPolicy()
 	policy.Segments = 1 << 16
-	bench := newRingHarness(b, policy)
+	harness := newRingHarness(b, policy)
 	body := make([]byte, 256)
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		attempt := uuid.UUID{byte(n), byte(n >> 8), byte(n >> 16), byte(n >> 24)}
-		bench.begin(keyNumber(n), attempt, "")
-		bench.finish(keyNumber(n), attempt, phaseRecorded, body)
+		harness.begin(keyNumber(n), attempt, "")
+		harness.finish(keyNumber(n), attempt, phaseRecorded, body)
 		if n%10 == 9 {
-			bench.write()
+			harness.write()
 		}
 	}
 }
--- a/internal/claim/claimrpc/claimrpc_test.go
+++ b/internal/claim/claimrpc/claimrpc_test.go
@@ -18,29 +18,29 @@
 	"galenatrestle/internal/refusal"
 )
 
-// holder is a fake Server that returns preset replies and records its requests.
-type holder struct {
-	begun    claim.BeginRequest
-	finished claim.FinishRequest
-	begin    claim.BeginReply
-	finish   claim.FinishReply
-	err      error
+// fakeServer is a fake Server that returns preset replies and records its requests.
+type fakeServer struct {
+	lastBegin   claim.BeginRequest
+	lastFinish  claim.FinishRequest
+	beginReply  claim.BeginReply
+	finishReply claim.FinishReply
+	err         error
 }
 
-func (h *holder) ServeBegin(_ context.Context, request claim.BeginRequest) (claim.BeginReply, error) {
-	h.begun = request
-	return h.begin, h.err
+func (s *fakeServer) ServeBegin(_ context.Context, request claim.BeginRequest) (claim.BeginReply, error) {
+	s.lastBegin = request
+	return s.beginReply, s.err
 }
 
-func (h *holder) ServeFinish(_ context.Context, request claim.FinishRequest) (claim.FinishReply, error) {
-	h.finished = request
-	return h.finish, h.err
+func (s *fakeServer) ServeFinish(_ context.Context, request claim.FinishRequest) (claim.FinishReply, error) {
+	s.lastFinish = request
+	return s.finishReply, s.err
 }
 
-func serve(t *testing.T, h *holder) string {
+func serve(t *testing.T, fake *fakeServer) string {
 	t.Helper()
 	mux := http.NewServeMux()
-	mux.Handle(NewHandler(h))
+	mux.Handle(NewHandler(fake))
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
@@ -48,47 +48,47 @@
 
 var key = claim.Key{Workspace: "w", Upstream: "u", IdempotencyKey: "k"}
 
-func TestBeginCarriesRequestAndReply(t *testing.T) {
+func TestBeginRoundTrip(t *testing.T) {
 	replies := map[string]claim.BeginReply{
 		"run":      {Verdict: claim.Run},
 		"recorded": {Verdict: claim.Recorded, Answer: claim.Answer{Status: 201, Header: http.Header{"A": {"1", "2"}}, Body: []byte("b")}},
 		"refused":  {Refused: refusal.ClaimLedgerFull},
-		"elsewhere, remembered": {
+		"not the holder, decision from an earlier term": {
 			Verdict: claim.Unknown, NotHolder: true, Hint: claim.Hint{Holder: "n2", Epoch: 7},
 		},
 	}
 	for name, reply := range replies {
-		h := &holder{begin: reply}
+		fake := &fakeServer{beginReply: reply}
 		request := claim.BeginRequest{
 			Key: key, CallFingerprint: claim.FingerprintOf("POST", "/x", []byte("body")), Attempt: uuid.New(), Node: "n1", Boot: uuid.New(),
 		}
-		got, err := NewClient("http", nil).Begin(t.Context(), serve(t, h), request)
+		got, err := NewClient("http", nil).Begin(t.Context(), serve(t, fake), request)
 		if err != nil || !reflect.DeepEqual(got, reply) {
 			t.Errorf("%s: got %+v, %v", name, got, err)
 		}
-		if h.begun != request {
-			t.Errorf("%s: the holder saw %+v, not %+v", name, h.begun, request)
+		if fake.lastBegin != request {
+			t.Errorf("%s: the server received %+v, not %+v", name, fake.lastBegin, request)
 		}
 	}
 }
 
-func TestFinishCarriesRequestAndReply(t *testing.T) {
-	h := &holder{finish: claim.FinishReply{NotHolder: true, Hint: claim.Hint{Holder: "n3", Epoch: 8}}}
+func TestFinishRoundTrip(t *testing.T) {
+	fake := &fakeServer{finishReply: claim.FinishReply{NotHolder: true, Hint: claim.Hint{Holder: "n3", Epoch: 8}}}
 	request := claim.FinishRequest{
 		Key: key, Attempt: uuid.New(), Phase: claimv1.Phase_PHASE_RECORDED, Answer: &claimv1.Answer{Status: 200, Body: []byte("b")},
 	}
-	got, err := NewClient("http", nil).Finish(t.Context(), serve(t, h), request)
-	if err != nil || got != h.finish {
+	got, err := NewClient("http", nil).Finish(t.Context(), serve(t, fake), request)
+	if err != nil || got != fake.finishReply {
 		t.Errorf("got %+v, %v", got, err)
 	}
-	if h.finished.Key != key || h.finished.Attempt != request.Attempt || h.finished.Phase != request.Phase ||
-		string(h.finished.Answer.GetBody()) != "b" {
-		t.Errorf("the holder saw %+v", h.finished)
+	if fake.lastFinish.Key != key || fake.lastFinish.Attempt != request.Attempt || fake.lastFinish.Phase != request.Phase ||
+		string(fake.lastFinish.Answer.GetBody()) != "b" {
+		t.Errorf("the server received %+v", fake.lastFinish)
 	}
 }
 
 func TestServerErrorsAreUnavailable(t *testing.T) {
-	address := serve(t, &holder{err: errors.New("uncertain")})
+	address := serve(t, &fakeServer{err: errors.New("uncertain")})
 	_, err := NewClient("http", nil).Begin(t.Context(), address, claim.BeginRequest{Key: key})
 	if connect.CodeOf(err) != connect.CodeUnavailable {
 		t.Errorf("begin: got %v", err)
@@ -100,7 +100,7 @@
 }
 
 func TestMalformedIDsAreRefused(t *testing.T) {
-	client := claimv1connect.NewClaimServiceClient(http.DefaultClient, "http://"+serve(t, &holder{}))
+	client := claimv1connect.NewClaimServiceClient(http.DefaultClient, "http://"+serve(t, &fakeServer{}))
 	_, err := client.Begin(t.Context(), connect.NewRequest(&claimv1.BeginRequest{Attempt: []byte("short")}))
 	if connect.CodeOf(err) != connect.CodeInvalidArgument {
 		t.Errorf("begin: got %v", err)
--- a/internal/claim/crash_test.go
+++ b/internal/claim/crash_test.go
@@ -92,12 +92,12 @@
 		want callResult
 	}{{OutcomeReleased, resultRan}, {OutcomeUnknown, resultUnknown}} {
 		withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
-			grant, err := nodes[1].Begin(t.Context(), testKey, FingerprintOf("POST", "/claims", []byte("body")))
-			if err != nil || grant.Verdict != Run {
-				t.Fatalf("begin: %v %v", grant.Verdict, err)
+			result, err := nodes[1].Begin(t.Context(), testKey, FingerprintOf("POST", "/claims", []byte("body")))
+			if err != nil || result.Verdict != Run {
+				t.Fatalf("begin: %v %v", result.Verdict, err)
 			}
 			expectResult(t, "a repeat while in progress", c.call(t, nodes[2], testKey, "body", stepNone), resultInProgress)
-			if err := nodes[1].Finish(t.Context(), grant.Token, Outcome{Kind: test.kind}); err != nil {
+			if err := nodes[1].Finish(t.Context(), result.Token, Outcome{Kind: test.kind}); err != nil {
 				t.Fatal(err)
 			}
 			expectResult(t, "the repeat", c.call(t, nodes[2], testKey, "body", stepNone), test.want)
@@ -129,18 +129,18 @@
 	})
 }
 
-// TestLostAnswer loses the response to the claim's write: after the write took effect,
-// without effect, and with a delayed effect.
-func TestLostAnswer(t *testing.T) {
-	for _, happens := range []fault{faultLost, faultDown, faultLate} {
+// TestLostWriteResponse loses the response to the claim's write: after the write took
+// effect, without effect, and with a delayed effect.
+func TestLostWriteResponse(t *testing.T) {
+	for _, injected := range []fault{faultLost, faultDown, faultLate} {
 		withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
-			left := 1
+			remaining := 1
 			c.store.setFault(func(string) fault {
-				if left == 0 {
+				if remaining == 0 {
 					return faultNone
 				}
-				left--
-				return happens
+				remaining--
+				return injected
 			})
 			expectResult(t, "the caller", c.call(t, nodes[1], testKey, "body", stepNone), resultRan)
 			c.store.deliverLate()
@@ -153,17 +153,17 @@
 // TestHolderPaused pauses the holder during a write until another holder has taken over.
 func TestHolderPaused(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
-		woken := make(chan struct{})
+		resume := make(chan struct{})
 		paused := make(chan struct{})
 		first := true
 		c.store.setGate(func(string, []byte) {
 			c.mu.Lock()
-			mine := first
+			isFirst := first
 			first = false
 			c.mu.Unlock()
-			if mine {
+			if isFirst {
 				close(paused)
-				<-woken
+				<-resume
 			}
 		})
 		results := make(chan callResult)
@@ -173,7 +173,7 @@
 		c.setPreferred("n2")
 		waitUntilSettled()
 		expectResult(t, "the repeat at the new holder", c.call(t, nodes[1], testKey, "body", stepNone), resultRan)
-		close(woken)
+		close(resume)
 		expectResult(t, "the caller at the paused holder", <-results, resultUnknown)
 		waitUntilSettled()
 		expectResult(t, "a later repeat", c.call(t, nodes[0], testKey, "body", stepNone), resultRecorded)
@@ -182,10 +182,10 @@
 }
 
 func holdsShard(node *testNode) bool {
-	part := node.shards[0]
-	part.mu.Lock()
-	defer part.mu.Unlock()
-	return part.holding
+	localShard := node.shards[0]
+	localShard.mu.Lock()
+	defer localShard.mu.Unlock()
+	return localShard.holding
 }
 
 // A holder that missed the expiry of its lease and its successor must not both run a
--- a/internal/claim/day_test.go
+++ b/internal/claim/day_test.go
@@ -16,12 +16,12 @@
 func BenchmarkDay(b *testing.B) {
 	b.Run("default/rush", func(b *testing.B) {
 		for range b.N {
-			measureDay(b, DefaultPolicy(), rush)
+			measureDay(b, DefaultPolicy(), dailyPeak)
 		}
 	})
 	larger := DefaultPolicy()
 	larger.Shards, larger.Segments = 64, 128
-	for _, way := range []struct {
+	for _, config := range []struct {
 		name   string
 		policy Policy
 		rate   float64
@@ -32,17 +32,17 @@
 		{"64 shards of 128 segments", larger, 16.5},
 		{"64 shards of 128 segments", larger, 40},
 	} {
-		b.Run(fmt.Sprintf("%s/%v a second", way.name, way.rate), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%s/%v a second", config.name, config.rate), func(b *testing.B) {
 			for range b.N {
-				measureDay(b, way.policy, func(int) float64 { return way.rate })
+				measureDay(b, config.policy, func(int) float64 { return config.rate })
 			}
 		})
 	}
 }
 
-// rush returns 10 claims per second for three hours of each day, and a daily average of
-// two per second.
-func rush(second int) float64 {
+// dailyPeak returns 10 claims per second for three hours of each day, and a daily average
+// of two per second.
+func dailyPeak(second int) float64 {
 	if second%(24*3600) < 3*3600 {
 		return 10
 	}
@@ -50,50 +50,50 @@
 }
 
 func measureDay(b *testing.B, policy Policy, rate func(second int) float64) {
-	bench := newRingHarness(b, policy)
-	due, claims, refused, writes, written, fullest := 0.0, 0, 0, 0, 0, 0
+	harness := newRingHarness(b, policy)
+	due, claims, refused, writes, written, maxBytes := 0.0, 0, 0, 0, 0, 0
 	write := func() {
-		bench.write()
+		harness.write()
 		writes++
-		written += len(bench.ring.body)
+		written += len(harness.ring.body)
 	}
 	for second := range dayHours * 3600 {
-		bench.now = bench.now.Add(time.Second)
+		harness.now = harness.now.Add(time.Second)
 		first := claims
 		for due += rate(second) / float64(policy.Shards); due >= 1; due-- {
-			if bench.ring.isFull() {
+			if harness.ring.isFull() {
 				refused++
 				continue
 			}
-			bench.begin(keyNumber(claims), attemptNumber(claims), "")
+			harness.begin(keyNumber(claims), attemptNumber(claims), "")
 			claims++
 		}
 		if claims == first {
 			continue
 		}
-		bench.ring.compact = bench.ring.shouldCompact()
+		harness.ring.compact = harness.ring.shouldCompact()
 		write()
 		for n := first; n < claims; n++ {
-			bench.finish(keyNumber(n), attemptNumber(n), phaseRecorded, make([]byte, 200))
+			harness.finish(keyNumber(n), attemptNumber(n), phaseRecorded, make([]byte, 200))
 		}
 		write()
-		fullest = max(fullest, bench.ring.bytes)
+		maxBytes = max(maxBytes, harness.ring.bytes)
 	}
-	b.ReportMetric(bench.ring.fill(), "fill")
-	kept := len(bench.ring.index)
-	b.ReportMetric(100*float64(fullest)/float64(policy.capacity()), "%full")
+	b.ReportMetric(harness.ring.fill(), "fill")
+	kept := len(harness.ring.index)
+	b.ReportMetric(100*float64(maxBytes)/float64(policy.capacity()), "%full")
 	b.ReportMetric(100*float64(refused)/float64(refused+claims), "%refused")
-	b.ReportMetric(float64(bench.ring.bytes)/float64(kept), "record-B/claim")
+	b.ReportMetric(float64(harness.ring.bytes)/float64(kept), "record-B/claim")
 	b.ReportMetric(float64(written)/float64(claims), "written-B/claim")
 	b.ReportMetric(float64(writes)/float64(claims), "writes/claim")
 	b.ReportMetric(float64(kept*policy.Shards), "kept-claims")
-	bench.ring = nil
-	bare := heap()
+	harness.ring = nil
+	heapBefore := heap()
 	start := time.Now()
-	bench.recover(policy, 2)
+	harness.recover(policy, 2)
 	took := time.Since(start)
-	used := heap() - bare
-	runtime.KeepAlive(bench)
+	used := heap() - heapBefore
+	runtime.KeepAlive(harness)
 	b.ReportMetric(float64(used)*float64(policy.Shards)/1e6, "heap-MB")
 	b.ReportMetric(float64(used)/float64(kept), "heap-B/claim")
 	b.ReportMetric(took.Seconds()*1e3, "recover-ms")
--- a/internal/claim/doc.go
+++ b/internal/claim/doc.go
@@ -10,7 +10,8 @@
 // and every write is a compare-and-swap on it, so a superseded holder's writes fail. A
 // lease selects the holder of a shard. The lease avoids conflicting writes, but safety
 // does not depend on it. Storage in the platform is bounded by Shards x Segments x
-// SegmentBytes; the holders keep the same records in memory.
+// SegmentBytes plus at most one batch per segment; the holders keep the retained records
+// in memory.
 //
 // In a platform outage no new claims are made: Begin refuses with outcome not-run if the
 // shard's holder knows that the key never ran, otherwise unknown. Durable verdicts known
--- a/internal/claim/errors.go
+++ b/internal/claim/errors.go
@@ -7,9 +7,9 @@
 	errNotHolder = errors.New("claim: not the shard's holder")
 	// errSuperseded means that another holder has taken over the shard.
 	errSuperseded = errors.New("claim: superseded by another holder")
-	// errStuck means that the platform does not respond while a change by another
+	// errWriteStalled means that the platform does not respond while a change by another
 	// attempt waits to be written.
-	errStuck = errors.New("claim: the platform does not respond; a change by another attempt is pending")
+	errWriteStalled = errors.New("claim: the platform does not respond; a change by another attempt is pending")
 	// errUncertain means that a change may or may not have become durable.
 	errUncertain = errors.New("claim: unknown whether the change is durable")
 )
--- a/internal/claim/fakecall_test.go
+++ b/internal/claim/fakecall_test.go
@@ -60,17 +60,17 @@
 		return ""
 	}
 	runsBefore := c.runs(key)
-	grant, err := node.Begin(t.Context(), key, FingerprintOf("POST", "/claims", []byte(body)))
+	result, err := node.Begin(t.Context(), key, FingerprintOf("POST", "/claims", []byte(body)))
 	if killed(stepAfterClaim) {
 		return ""
 	}
 	if err != nil {
 		return c.checkRefusal(t, key, runsBefore, refusal.From(err))
 	}
-	switch grant.Verdict {
+	switch result.Verdict {
 	case Recorded:
-		if string(grant.Answer.Body) != answerTo(body) {
-			t.Errorf("recorded answer %q for body %q", grant.Answer.Body, body)
+		if string(result.Answer.Body) != answerTo(body) {
+			t.Errorf("recorded answer %q for body %q", result.Answer.Body, body)
 		}
 		return resultRecorded
 	case InProgress:
@@ -78,7 +78,7 @@
 	case Unknown:
 		return resultUnknown
 	}
-	return c.runCall(t, node, grant, body, killed)
+	return c.runCall(t, node, result, body, killed)
 }
 
 // checkRefusal checks that not-run is returned only if no earlier request with the key
@@ -97,16 +97,16 @@
 	return resultNotRun
 }
 
-func (c *cluster) runCall(t testing.TB, node *testNode, grant BeginResult, body string, killed func(step) bool) callResult {
+func (c *cluster) runCall(t testing.TB, node *testNode, result BeginResult, body string, killed func(step) bool) callResult {
 	outcome := OutcomeRecorded
 	if c.nextOutcome != nil {
 		outcome = c.nextOutcome()
 	}
-	if runs := c.runs(grant.Token.Key); runs > 0 {
-		t.Errorf("%v has run %d times, but a new claim got Run", grant.Token.Key, runs)
+	if runs := c.runs(result.Token.Key); runs > 0 {
+		t.Errorf("%v has run %d times, but a new claim got Run", result.Token.Key, runs)
 	}
 	if outcome != OutcomeReleased {
-		c.recordSend(node, grant.Token.Key)
+		c.recordSend(node, result.Token.Key)
 	}
 	if killed(stepAfterSend) {
 		return ""
@@ -114,7 +114,7 @@
 	answer := Answer{Status: 201, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte(answerTo(body))}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	_ = node.Finish(ctx, grant.Token, Outcome{Kind: outcome, Answer: answer})
+	_ = node.Finish(ctx, result.Token, Outcome{Kind: outcome, Answer: answer})
 	if killed(stepAfterRecord) {
 		return ""
 	}
--- a/internal/claim/fakecluster_test.go
+++ b/internal/claim/fakecluster_test.go
@@ -15,8 +15,8 @@
 	"galenatrestle/internal/platform"
 )
 
-// fakeLeases grants leases that end only on release, on expireLeases, or with their
-// node.
+// fakeLeases grants leases that end only on release, on expireLeases, or when their node
+// is killed.
 type fakeLeases struct {
 	cluster *cluster
 	node    *testNode
@@ -108,7 +108,7 @@
 	}
 }
 
-// cluster is a set of nodes on one platform. It counts the calls sent.
+// cluster is a set of nodes on one platform. It counts the calls sent upstream per key.
 type cluster struct {
 	store *fakeStore
 
@@ -119,16 +119,16 @@
 	sent   map[Key]int
 	// preferred is the node returned as owner by every view.
 	preferred string
-	// cutBefore and cutAfter, if set, return true to break a forwarded call before or
+	// dropRequest and dropReply, if set, return true to fail a forwarded call before or
 	// after it is served.
-	cutBefore, cutAfter func() bool
-	oneWay              time.Duration
+	dropRequest, dropReply func() bool
+	networkDelay           time.Duration
 	// nextOutcome, if set, returns the outcome of the next call that runs.
 	nextOutcome func() OutcomeKind
 	// regions, if set, maps each node to its region; preferredIn is then the owner per
 	// region. Views include only members of their own region.
-	regions     map[string]string
-	preferredIn map[string]string
+	regions           map[string]string
+	preferredByRegion map[string]string
 }
 
 type testNode struct {
@@ -180,32 +180,32 @@
 	v.cluster.mu.Lock()
 	defer v.cluster.mu.Unlock()
 	if v.cluster.regions != nil {
-		return member(v.cluster.preferredIn[v.region()])
+		return member(v.cluster.preferredByRegion[v.region()])
 	}
 	return member(v.cluster.preferred)
 }
 
 type fakePeers struct{ cluster *cluster }
 
-var errCut = errors.New("connection cut")
+var errConnectionLost = errors.New("connection lost")
 
 func (p fakePeers) reach(address string) (*testNode, error) {
-	time.Sleep(p.cluster.oneWay)
+	time.Sleep(p.cluster.networkDelay)
 	p.cluster.mu.Lock()
 	defer p.cluster.mu.Unlock()
 	node := p.cluster.nodes[address]
-	if node == nil || node.dead || (p.cluster.cutBefore != nil && p.cluster.cutBefore()) {
-		return nil, errCut
+	if node == nil || node.dead || (p.cluster.dropRequest != nil && p.cluster.dropRequest()) {
+		return nil, errConnectionLost
 	}
 	return node, nil
 }
 
 func (p fakePeers) deliverReply(node *testNode, err error) error {
-	time.Sleep(p.cluster.oneWay)
+	time.Sleep(p.cluster.networkDelay)
 	p.cluster.mu.Lock()
 	defer p.cluster.mu.Unlock()
-	if node.dead || (p.cluster.cutAfter != nil && p.cluster.cutAfter()) {
-		return errCut
+	if node.dead || (p.cluster.dropReply != nil && p.cluster.dropReply()) {
+		return errConnectionLost
 	}
 	return err
 }
@@ -228,7 +228,7 @@
 	return reply, p.deliverReply(node, err)
 }
 
-func (c *cluster) start(t testing.TB, name string, change func(*Options)) *testNode {
+func (c *cluster) start(t testing.TB, name string, configure func(*Options)) *testNode {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -239,8 +239,8 @@
 		Random: rand.New(rand.NewPCG(1, uint64(len(name)))),
 	}
 	options.Policy.Shards = 1
-	if change != nil {
-		change(&options)
+	if configure != nil {
+		configure(&options)
 	}
 	created, err := NewNode(options)
 	if err != nil {
--- a/internal/claim/fakestore_test.go
+++ b/internal/claim/fakestore_test.go
@@ -45,7 +45,7 @@
 	return &fakeStore{entries: make(map[string]platform.Entry)}
 }
 
-func (f *fakeStore) written() int {
+func (f *fakeStore) writeCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.writes
@@ -122,11 +122,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	happens := faultNone
+	injected := faultNone
 	if f.faultOf != nil {
-		happens = f.faultOf(key)
+		injected = f.faultOf(key)
 	}
-	switch happens {
+	switch injected {
 	case faultDown:
 		return platform.Entry{}, platform.ErrUnavailable
 	case faultLate:
@@ -134,7 +134,7 @@
 		return platform.Entry{}, platform.ErrUnavailable
 	}
 	entry, err := f.swap(key, expect, value)
-	if happens == faultLost {
+	if injected == faultLost {
 		return platform.Entry{}, platform.ErrUnavailable
 	}
 	return entry, err
--- a/internal/claim/finish.go
+++ b/internal/claim/finish.go
@@ -24,7 +24,7 @@
 		return c.finishAbsent(), Decision{}
 	}
 	if !bytes.Equal(state.GetAttempt(), c.Attempt[:]) {
-		// The claim belongs to another attempt.
+		// Only the attempt that made the claim may finish it.
 		return state, Decision{}
 	}
 	if !c.mayReplace(state.GetPhase()) {
--- a/internal/claim/forward.go
+++ b/internal/claim/forward.go
@@ -9,7 +9,7 @@
 
 // tryBegin sends the request to the shard's holder once. errNotHolder guarantees that
 // nothing changed; after any other error the claim may have been made. On error, the
-// reply is what a node remembers of the claim from an earlier term, if anything.
+// reply is the decision of a former holder from its last term, if there is one.
 func (n *Node) tryBegin(ctx context.Context, request BeginRequest) (BeginReply, error) {
 	localShard, manager := n.shardOf(request.Key)
 	localReply, err := n.beginLocal(ctx, localShard, request)
--- a/internal/claim/gather_test.go
+++ b/internal/claim/gather_test.go
@@ -14,36 +14,36 @@
 	cases := []struct {
 		name string
 		// calls are started one after another, with pause before each.
-		calls int
-		pause time.Duration
-		body  int
-		most  time.Duration
-		// least and atMost bound the number of writes.
-		least, atMost int
+		calls       int
+		pause       time.Duration
+		body        int
+		maxDuration time.Duration
+		// minWrites and maxWrites bound the number of writes.
+		minWrites, maxWrites int
 	}{
-		{"lone calls", 10, time.Second, 200, 6 * time.Millisecond, 20, 20},
+		{"single calls", 10, time.Second, 200, 6 * time.Millisecond, 20, 20},
 		{"a busy shard", 1000, 2 * time.Millisecond, 1, 2 * (DefaultFlushInterval + 10*time.Millisecond), 48, 56},
 		// FlushInterval alone would give 50 writes. The upper bound is loose because
 		// batching depends on goroutine scheduling.
-		{"many bytes", 500, 4 * time.Millisecond, 8000, 2 * (DefaultFlushInterval + 10*time.Millisecond), 200, 420},
+		{"large answers", 500, 4 * time.Millisecond, 8000, 2 * (DefaultFlushInterval + 10*time.Millisecond), 200, 420},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
-				before := c.store.written()
+				before := c.store.writeCount()
 				took := make([]time.Duration, test.calls)
 				var calls sync.WaitGroup
 				for i := range test.calls {
 					time.Sleep(test.pause)
 					calls.Go(func() {
 						begun := time.Now()
-						grant, err := nodes[0].Begin(t.Context(), keyNumber(i), Fingerprint{})
+						result, err := nodes[0].Begin(t.Context(), keyNumber(i), Fingerprint{})
 						if err != nil {
 							t.Error(err)
 							return
 						}
 						answer := Answer{Status: 201, Body: []byte(fmt.Sprintf("%0*d", test.body, i))}
-						err = nodes[0].Finish(t.Context(), grant.Token, Outcome{Kind: OutcomeRecorded, Answer: answer})
+						err = nodes[0].Finish(t.Context(), result.Token, Outcome{Kind: OutcomeRecorded, Answer: answer})
 						if err != nil {
 							t.Error(err)
 						}
@@ -52,13 +52,13 @@
 				}
 				calls.Wait()
 				for i, d := range took {
-					if d > test.most {
-						t.Errorf("call %d took %v, more than %v", i, d, test.most)
+					if d > test.maxDuration {
+						t.Errorf("call %d took %v, more than %v", i, d, test.maxDuration)
 						break
 					}
 				}
-				if writes := c.store.written() - before; writes < test.least || writes > test.atMost {
-					t.Errorf("%d writes, want %d to %d", writes, test.least, test.atMost)
+				if writes := c.store.writeCount() - before; writes < test.minWrites || writes > test.maxWrites {
+					t.Errorf("%d writes, want %d to %d", writes, test.minWrites, test.maxWrites)
 				}
 			})
 		})
--- a/internal/claim/hint_test.go
+++ b/internal/claim/hint_test.go
@@ -50,18 +50,18 @@
 // a replaced process.
 func TestHolderAddressPrefersLease(t *testing.T) {
 	withCluster(t, func(t *testing.T, _ *cluster, nodes []*testNode) {
-		holder := nodes[1].leaseManagers[0]
-		holder.clearHolder()
-		holder.updateHint(Hint{Holder: HolderName("n3", "run-2", "n3-replaced"), Epoch: 9})
-		if address, ok := holder.holderAddress(); !ok || address != "n3-replaced" {
+		manager := nodes[1].leaseManagers[0]
+		manager.clearHolder()
+		manager.updateHint(Hint{Holder: HolderName("n3", "run-2", "n3-replaced"), Epoch: 9})
+		if address, ok := manager.holderAddress(); !ok || address != "n3-replaced" {
 			t.Errorf("holder address is %q, want the address in its lease", address)
 		}
-		holder.updateHint(Hint{Holder: HolderName("n2", "run-1", "n2"), Epoch: 10})
-		if address, ok := holder.holderAddress(); ok {
+		manager.updateHint(Hint{Holder: HolderName("n2", "run-1", "n2"), Epoch: 10})
+		if address, ok := manager.holderAddress(); ok {
 			t.Errorf("holder address is this node's own: %q", address)
 		}
-		holder.updateHint(Hint{Holder: "n3", Epoch: 11})
-		if address, ok := holder.holderAddress(); !ok || address != "n3" {
+		manager.updateHint(Hint{Holder: "n3", Epoch: 11})
+		if address, ok := manager.holderAddress(); !ok || address != "n3" {
 			t.Errorf("address of a holder without one in its lease is %q, want that of the view", address)
 		}
 	})
--- a/internal/claim/hold.go
+++ b/internal/claim/hold.go
@@ -73,7 +73,7 @@
 // the shard's share of the platform's write rate.
 func (s *shard) flush(termCtx context.Context) error {
 	for s.hasPending() {
-		if !s.waitForBatch(termCtx) || s.limiter.Wait(termCtx) != nil {
+		if !s.waitForBatch(termCtx) || s.writeLimiter.Wait(termCtx) != nil {
 			return nil
 		}
 		if err := s.write(termCtx, s.ring); err != nil {
@@ -133,31 +133,31 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current.markWritten(next, revision)
-	s.stuck = false
+	s.writeStalled = false
 	s.notifyWaiters()
 	s.metrics.countWrite(s.number, next, current)
 	s.warnIfFilling(current.fill())
 	return nil
 }
 
-// stuckAfterTries is the number of failed tries of one write after which new claims are
+// stalledAfterTries is the number of failed tries of one write after which new claims are
 // refused immediately.
-const stuckAfterTries = 3
+const stalledAfterTries = 3
 
 // resolveWrite sends the write until its effect is known. After a lost response it sends
 // the same write again and recognizes its own write ID in the conflict.
 func (s *shard) resolveWrite(termCtx context.Context, next write) (int64, error) {
 	for tries := 1; ; tries++ {
-		outcome, revision := s.send(termCtx, next)
-		s.metrics.writes.WithLabelValues(outcome.String()).Inc()
-		switch outcome {
+		result, revision := s.send(termCtx, next)
+		s.metrics.writes.WithLabelValues(result.String()).Inc()
+		switch result {
 		case effectApplied:
 			return revision, nil
 		case effectSuperseded:
 			return 0, errSuperseded
 		}
 		s.mu.Lock()
-		s.stuck = tries >= stuckAfterTries
+		s.writeStalled = tries >= stalledAfterTries
 		s.notifyWaiters()
 		s.mu.Unlock()
 		if !pause(termCtx, s.options) {
@@ -169,10 +169,10 @@
 func (s *shard) send(termCtx context.Context, next write) (effect, int64) {
 	ctx, cancel := context.WithTimeout(termCtx, s.options.CallTimeout)
 	defer cancel()
-	answer, err := s.options.Store.CompareAndSwap(ctx, next.key, next.expect, next.value)
-	outcome, revision := next.classify(answer, err)
-	if outcome != effectNeedsRead {
-		return outcome, revision
+	swapped, err := s.options.Store.CompareAndSwap(ctx, next.key, next.expectedRevision, next.value)
+	result, revision := next.classify(swapped, err)
+	if result != effectNeedsRead {
+		return result, revision
 	}
 	var found platform.Entry
 	found, err = s.options.Store.Get(ctx, next.key)
@@ -188,7 +188,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.holding = false
-	s.stuck = false
+	s.writeStalled = false
 	if cause == errSuperseded {
 		s.ring = nil
 	}
--- a/internal/claim/known.go
+++ b/internal/claim/known.go
@@ -17,7 +17,7 @@
 	defer cancel()
 	reply, err := n.retryBegin(lookupCtx, request)
 	if err != nil {
-		return BeginResult{}, false, unsettledRefusal(ctx, err)
+		return BeginResult{}, false, undecidedRefusal(ctx, err)
 	}
 	switch {
 	case reply.Refused == refusal.QuotaExceeded:
--- a/internal/claim/lease_test.go
+++ b/internal/claim/lease_test.go
@@ -63,7 +63,7 @@
 // useStore configures a node to use the store with real leases.
 func useStore(t *testing.T, c *cluster, name string, store platform.Store) func(*Options) {
 	return func(options *Options) {
-		reached := killableStore{Store: store, dead: func() bool {
+		killable := killableStore{Store: store, dead: func() bool {
 			node := c.node(name)
 			return node != nil && c.isDead(node)
 		}}
@@ -71,19 +71,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		source, err := lease.NewSource(reached, name+"/run-1", lease.DefaultSettings(testLeaseTTL), metrics, time.Now)
+		source, err := lease.NewSource(killable, name+"/run-1", lease.DefaultSettings(testLeaseTTL), metrics, time.Now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		options.Store = reached
+		options.Store = killable
 		options.Leases = realLeases{source: source}
 		options.Policy.Shards = 1
 	}
 }
 
 // TestHolderDies uses real leases on the in-memory platform. After the holder's death,
-// recorded claims stay recorded, open claims become unknown, and new claims run once the
-// lease has expired.
+// recorded claims stay recorded, in-progress claims become unknown, and new claims run
+// once the lease has expired.
 func TestHolderDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
@@ -93,9 +93,9 @@
 			nodes[name] = c.start(t, name, useStore(t, c, name, store))
 		}
 		waitUntilSettled()
-		recorded, open, fresh := keyNumber(1), keyNumber(2), keyNumber(3)
+		recorded, inProgress, fresh := keyNumber(1), keyNumber(2), keyNumber(3)
 		expectResult(t, "the first", c.call(t, nodes["n1"], recorded, "body", stepNone), resultRan)
-		c.call(t, nodes["n1"], open, "body", stepAfterSend)
+		c.call(t, nodes["n1"], inProgress, "body", stepAfterSend)
 		c.setPreferred("n2")
 		died := time.Now()
 		for c.call(t, nodes["n3"], fresh, "body", stepNone) != resultRan {
@@ -109,8 +109,8 @@
 			t.Errorf("claims run again only after %v", took)
 		}
 		expectResult(t, "a repeat of the recorded call", c.call(t, nodes["n3"], recorded, "body", stepNone), resultRecorded)
-		expectResult(t, "a repeat of the open call", c.call(t, nodes["n3"], open, "body", stepNone), resultUnknown)
-		for key, want := range map[Key]int{recorded: 1, open: 1, fresh: 1} {
+		expectResult(t, "a repeat of the in-progress call", c.call(t, nodes["n3"], inProgress, "body", stepNone), resultUnknown)
+		for key, want := range map[Key]int{recorded: 1, inProgress: 1, fresh: 1} {
 			expectRuns(t, c, key, want)
 		}
 		for _, node := range nodes {
--- a/internal/claim/metrics.go
+++ b/internal/claim/metrics.go
@@ -75,10 +75,10 @@
 }
 
 // countWrite counts a write that took effect and updates the shard's gauges.
-func (m *metrics) countWrite(shard int, done write, current *ring) {
+func (m *metrics) countWrite(shard int, written write, current *ring) {
 	label := strconv.Itoa(shard)
-	m.writeBytes.Add(float64(len(done.value)))
-	m.changes.Add(float64(len(done.digests)))
+	m.writeBytes.Add(float64(len(written.value)))
+	m.changes.Add(float64(len(written.digests)))
 	m.retained.WithLabelValues(label).Set(float64(len(current.index)))
 	m.bytes.WithLabelValues(label).Set(float64(current.bytes))
 	m.fill.WithLabelValues(label).Set(current.fill())
--- a/internal/claim/model_test.go
+++ b/internal/claim/model_test.go
@@ -21,9 +21,11 @@
 	modelContent = FingerprintOf("POST", "/claims", nil)
 )
 
+// model explores the reachable states, counts the events on the way and collects
+// violations in failures.
 type model struct {
 	seen     map[[16]byte]bool
-	reached  map[string]int
+	events   map[string]int
 	failures []string
 }
 
@@ -53,7 +55,7 @@
 		}
 		after := s.clone()
 		step(after)
-		after.dropSettled()
+		after.dropFailedWrites()
 		next = append(next, after)
 	}
 	for n := range s.nodes {
@@ -76,21 +78,21 @@
 	if node.dead {
 		return
 	}
-	addIf(s.faultsLeft.takeovers > 0 && node.sending == nil, func(s *modelState) { m.takeOver(s, n) })
+	addIf(s.faultsLeft.takeovers > 0 && node.inFlight == nil, func(s *modelState) { m.takeOver(s, n) })
 	addIf(s.faultsLeft.crashes > 0, func(s *modelState) { s.crash(n) })
 	addIf(s.faultsLeft.suspicions > 0 && !node.suspected, func(s *modelState) {
 		s.faultsLeft.suspicions--
 		s.nodes[n].suspected = true
 	})
-	sending := node.sending != nil
-	addIf(sending, func(s *modelState) { m.deliverAnswer(s, n) })
+	sending := node.inFlight != nil
+	addIf(sending, func(s *modelState) { m.deliverWriteResponse(s, n) })
 	addIf(sending && s.faultsLeft.lost > 0, func(s *modelState) {
 		s.faultsLeft.lost--
-		_, _ = s.swap(*s.nodes[n].sending)
+		_, _ = s.swap(*s.nodes[n].inFlight)
 	})
 	addIf(sending && s.faultsLeft.late > 0, func(s *modelState) {
 		s.faultsLeft.late--
-		s.late = append(s.late, *s.nodes[n].sending)
+		s.late = append(s.late, *s.nodes[n].inFlight)
 	})
 	addIf(node.ring != nil && !sending && len(node.ring.pending) > 0, func(s *modelState) { m.send(s, n) })
 }
@@ -120,35 +122,35 @@
 		m.failures = append(m.failures, err.Error())
 		return
 	}
-	s.nodes[n].sending = &next
+	s.nodes[n].inFlight = &next
 }
 
-func (m *model) deliverAnswer(s *modelState, n int) {
+func (m *model) deliverWriteResponse(s *modelState, n int) {
 	node := &s.nodes[n]
-	outcome, revision := node.sending.classify(s.swap(*node.sending))
-	m.reached["write "+outcome.String()]++
-	switch outcome {
+	result, revision := node.inFlight.classify(s.swap(*node.inFlight))
+	m.events["write "+result.String()]++
+	switch result {
 	case effectApplied:
-		node.ring.markWritten(*node.sending, revision)
+		node.ring.markWritten(*node.inFlight, revision)
 		node.fencing = false
 	case effectSuperseded:
 		node.ring = nil
 	}
-	node.sending = nil
+	node.inFlight = nil
 }
 
 // crash ends a node. Its write in flight may still take effect.
 func (s *modelState) crash(n int) {
 	s.faultsLeft.crashes--
 	node := &s.nodes[n]
-	if node.sending != nil {
-		s.late = append(s.late, *node.sending)
+	if node.inFlight != nil {
+		s.late = append(s.late, *node.inFlight)
 	}
 	*node = modelNode{dead: true}
-	s.requests[n].state = requestOver
+	s.requests[n].state = requestDone
 }
 
-func (s *modelState) gone(name string, _ uuid.UUID) bool {
+func (s *modelState) processEnded(name string, _ uuid.UUID) bool {
 	for n, node := range s.nodes {
 		if nodeName(n) == name {
 			return node.dead || node.suspected
@@ -157,19 +159,20 @@
 	return true
 }
 
-// tailStays never seals the tail; tailMoves starts a new segment with each write.
+// neverSealPolicy never seals the tail; alwaysSealPolicy starts a new segment with each
+// write.
 var (
-	tailStays = Policy{Segments: 2, SegmentBytes: 1 << 20, InProgressLimit: time.Hour, KeyRetention: time.Hour}
-	tailMoves = Policy{Segments: 2, SegmentBytes: 1, InProgressLimit: time.Hour, KeyRetention: time.Hour}
-	// tailShortens overwrites its only segment with each write and shortens each ended
-	// claim.
-	tailShortens = Policy{Segments: 1, SegmentBytes: 1, InProgressLimit: time.Hour, KeyRetention: time.Hour, AnswerRetention: -1}
+	neverSealPolicy  = Policy{Segments: 2, SegmentBytes: 1 << 20, InProgressLimit: time.Hour, KeyRetention: time.Hour}
+	alwaysSealPolicy = Policy{Segments: 2, SegmentBytes: 1, InProgressLimit: time.Hour, KeyRetention: time.Hour}
+	// alwaysShortenPolicy overwrites its only segment with each write and shortens each
+	// ended claim.
+	alwaysShortenPolicy = Policy{Segments: 1, SegmentBytes: 1, InProgressLimit: time.Hour, KeyRetention: time.Hour, AnswerRetention: -1}
 )
 
 // newModel explores from a state in which node 0 takes over first. Nodes and requests
 // are symmetric, so the choice does not matter.
 func newModel(start *modelState) *model {
-	m := &model{seen: make(map[[16]byte]bool), reached: make(map[string]int)}
+	m := &model{seen: make(map[[16]byte]bool), events: make(map[string]int)}
 	start.entries = make(map[string]platform.Entry)
 	start.contents = make(map[string][]byte)
 	start.faultsLeft.takeovers++
@@ -181,27 +184,27 @@
 // TestModel explores every order of claims, writes, takeovers, crashes, lost responses
 // and late writes within the fault budget, using the production code for each decision.
 func TestModel(t *testing.T) {
-	bounds := map[string]modelState{
-		"three holders": {policy: tailStays, faultsLeft: faultBudget{takeovers: 2}},
-		"crash":         {policy: tailStays, faultsLeft: faultBudget{takeovers: 1, crashes: 1}},
-		"lost answer":   {policy: tailStays, faultsLeft: faultBudget{takeovers: 1, lost: 1}},
-		"late write":    {policy: tailStays, faultsLeft: faultBudget{takeovers: 1, late: 1}},
-		"suspicion":     {policy: tailStays, faultsLeft: faultBudget{takeovers: 1, suspicions: 1}},
-		"release":       {policy: tailStays, faultsLeft: faultBudget{takeovers: 1, releases: 1}},
-
-		"three holders and crash, tail moves":   {policy: tailMoves, faultsLeft: faultBudget{takeovers: 2, crashes: 1}},
-		"crash and lost answer, tail moves":     {policy: tailMoves, faultsLeft: faultBudget{takeovers: 1, crashes: 1, lost: 1}},
-		"crash and late write, tail moves":      {policy: tailMoves, faultsLeft: faultBudget{takeovers: 1, crashes: 1, late: 1}},
-		"suspicion and lost answer, tail moves": {policy: tailMoves, faultsLeft: faultBudget{takeovers: 1, suspicions: 1, lost: 1}},
-		"release and late write, tail moves":    {policy: tailMoves, faultsLeft: faultBudget{takeovers: 1, releases: 1, late: 1}},
+	cases := map[string]modelState{
+		"three holders": {policy: neverSealPolicy, faultsLeft: faultBudget{takeovers: 2}},
+		"crash":         {policy: neverSealPolicy, faultsLeft: faultBudget{takeovers: 1, crashes: 1}},
+		"lost response": {policy: neverSealPolicy, faultsLeft: faultBudget{takeovers: 1, lost: 1}},
+		"late write":    {policy: neverSealPolicy, faultsLeft: faultBudget{takeovers: 1, late: 1}},
+		"suspicion":     {policy: neverSealPolicy, faultsLeft: faultBudget{takeovers: 1, suspicions: 1}},
+		"release":       {policy: neverSealPolicy, faultsLeft: faultBudget{takeovers: 1, releases: 1}},
+
+		"three holders and crash, segments sealed":     {policy: alwaysSealPolicy, faultsLeft: faultBudget{takeovers: 2, crashes: 1}},
+		"crash and lost response, segments sealed":     {policy: alwaysSealPolicy, faultsLeft: faultBudget{takeovers: 1, crashes: 1, lost: 1}},
+		"crash and late write, segments sealed":        {policy: alwaysSealPolicy, faultsLeft: faultBudget{takeovers: 1, crashes: 1, late: 1}},
+		"suspicion and lost response, segments sealed": {policy: alwaysSealPolicy, faultsLeft: faultBudget{takeovers: 1, suspicions: 1, lost: 1}},
+		"release and late write, segments sealed":      {policy: alwaysSealPolicy, faultsLeft: faultBudget{takeovers: 1, releases: 1, late: 1}},
 	}
 	for _, left := range []faultBudget{
 		{takeovers: 2, crashes: 1}, {takeovers: 1, crashes: 1, lost: 1}, {takeovers: 1, crashes: 1, late: 1},
 		{takeovers: 1, suspicions: 1, lost: 1}, {takeovers: 1, releases: 1, late: 1},
 	} {
-		bounds[fmt.Sprintf("short records, %+v", left)] = modelState{policy: tailShortens, faultsLeft: left}
+		cases[fmt.Sprintf("short records, %+v", left)] = modelState{policy: alwaysShortenPolicy, faultsLeft: left}
 	}
-	for name, start := range bounds {
+	for name, start := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			m := newModel(&start)
@@ -209,14 +212,14 @@
 				t.Error(failure)
 			}
 			for _, wanted := range []string{"verdict run", "verdict recorded", "verdict in_progress", "write landed", "write superseded", "abandoned"} {
-				if m.reached[wanted] == 0 {
+				if m.events[wanted] == 0 {
 					t.Errorf("the model never reached %q", wanted)
 				}
 			}
-			if start.policy.AnswerRetention < 0 && m.reached["short record"] == 0 {
+			if start.policy.AnswerRetention < 0 && m.events["short record"] == 0 {
 				t.Error("the model never met a short record")
 			}
-			t.Logf("%d states, %v", len(m.seen), m.reached)
+			t.Logf("%d states, %v", len(m.seen), m.events)
 		})
 	}
 }
@@ -225,12 +228,12 @@
 // implementations.
 func TestModelDetectsFaults(t *testing.T) {
 	broken := map[string]modelState{
-		"writes without a condition": {unconditional: true, faultsLeft: faultBudget{takeovers: 1}},
-		"answers before the write":   {early: true, faultsLeft: faultBudget{takeovers: 1}},
+		"writes without a condition": {ignoresRevisions: true, faultsLeft: faultBudget{takeovers: 1}},
+		"answers before the write":   {respondsEarly: true, faultsLeft: faultBudget{takeovers: 1}},
 	}
 	for name, start := range broken {
 		t.Run(name, func(t *testing.T) {
-			start.policy = tailStays
+			start.policy = neverSealPolicy
 			m := newModel(&start)
 			if !slices.Contains(m.failures, "the call ran twice") {
 				t.Errorf("not found in %d states: %v", len(m.seen), m.failures)
--- a/internal/claim/modelrequest_test.go
+++ b/internal/claim/modelrequest_test.go
@@ -25,7 +25,7 @@
 	addIf(request.state == requestIdle && request.uncertain, func(s *modelState) { m.abandon(s, i, resultUnknown) })
 	addIf(request.state == requestGranted, func(s *modelState) { m.run(s, i) })
 	addIf(request.state == requestGranted && s.faultsLeft.releases > 0, func(s *modelState) {
-		// The send failed before its first byte.
+		// The send failed before any byte was sent.
 		s.faultsLeft.releases--
 		m.abandon(s, i, resultNotRun)
 	})
@@ -34,7 +34,7 @@
 func (m *model) begin(s *modelState, i, h int) {
 	r := s.nodes[h].ring
 	command := BeginCommand{
-		Key: modelKey, CallFingerprint: modelContent, Attempt: attemptOf(i), Node: nodeName(i), Now: modelNow, ProcessEnded: s.gone,
+		Key: modelKey, CallFingerprint: modelContent, Attempt: attemptOf(i), Node: nodeName(i), Now: modelNow, ProcessEnded: s.processEnded,
 	}
 	decision, change, err := r.apply(modelKey, command, modelNow)
 	if err != nil {
@@ -42,7 +42,7 @@
 		return
 	}
 	if r.index[digestOf(modelKey)].short {
-		m.reached["short record"]++
+		m.events["short record"]++
 	}
 	request := &s.requests[i]
 	request.state = requestWaiting
@@ -54,13 +54,13 @@
 // durable reports whether the holder may respond to the request.
 func (s *modelState) durable(request modelRequest) bool {
 	r := s.nodes[request.holder].ring
-	return r != nil && r.epoch == request.term && (r.durableChange >= request.change || s.early)
+	return r != nil && r.epoch == request.term && (r.durableChange >= request.change || s.respondsEarly)
 }
 
 func (m *model) deliverDecision(s *modelState, i int) {
 	request := &s.requests[i]
-	request.state = requestOver
-	m.reached["verdict "+request.decision.Verdict.String()]++
+	request.state = requestDone
+	m.events["verdict "+request.decision.Verdict.String()]++
 	switch request.decision.Verdict {
 	case Run:
 		request.state = requestGranted
@@ -88,8 +88,8 @@
 	if result == resultNotRun && s.sends > 0 {
 		m.failures = append(m.failures, "a caller got not-run although its key had run")
 	}
-	m.reached["abandoned"]++
-	m.reached["caller got "+string(result)]++
+	m.events["abandoned"]++
+	m.events["caller got "+string(result)]++
 }
 
 func (s *modelState) finish(i, h int, phase claimv1.Phase) {
--- a/internal/claim/modelstate_test.go
+++ b/internal/claim/modelstate_test.go
@@ -28,7 +28,7 @@
 	requestGranted
 	requestSent
 	requestAbandoned
-	requestOver
+	requestDone
 )
 
 // modelRequest is one caller's request; request i arrives at node i.
@@ -50,8 +50,8 @@
 	suspected bool
 	ring      *ring
 	// fencing reports that the ring's first write is in flight.
-	fencing bool
-	sending *write
+	fencing  bool
+	inFlight *write
 }
 
 // modelState is one state of the model: a shard with one key, two nodes and two requests
@@ -68,10 +68,10 @@
 	faultsLeft faultBudget
 	// contents caches the results of content; all clones share it.
 	contents map[string][]byte
-	// unconditional simulates a broken platform that ignores the expected revision.
-	unconditional bool
-	// early simulates a broken holder that responds before its write is durable.
-	early bool
+	// ignoresRevisions simulates a broken platform that ignores the expected revision.
+	ignoresRevisions bool
+	// respondsEarly simulates a broken holder that responds before its write is durable.
+	respondsEarly bool
 }
 
 func cloneRing(r *ring) *ring {
@@ -113,8 +113,8 @@
 	}
 	for n := range m.nodes {
 		node := &m.nodes[n]
-		to.add(boolToInt(node.dead), boolToInt(node.suspected), boolToInt(node.fencing), boolToInt(node.sending != nil), boolToInt(node.ring != nil))
-		m.identifySending(&to, node.sending)
+		to.add(boolToInt(node.dead), boolToInt(node.suspected), boolToInt(node.fencing), boolToInt(node.inFlight != nil), boolToInt(node.ring != nil))
+		m.identifySending(&to, node.inFlight)
 		m.identifyRing(&to, node.ring)
 	}
 	for i := range m.requests {
@@ -124,6 +124,7 @@
 	return [16]byte(sum[:16])
 }
 
+// identity is the encoding of a modelState that modelState.identity hashes.
 type identity []byte
 
 func (to *identity) add(numbers ...int) {
@@ -170,10 +171,10 @@
 		return
 	}
 	current := m.entries[sending.key]
-	landed := bytes.Equal(current.Value, sending.value)
+	applied := bytes.Equal(current.Value, sending.value)
 	to.addBytes([]byte(sending.key))
-	to.add(boolToInt(current.Revision == sending.expect), boolToInt(landed))
-	if landed || current.Revision == sending.expect {
+	to.add(boolToInt(current.Revision == sending.expectedRevision), boolToInt(applied))
+	if applied || current.Revision == sending.expectedRevision {
 		to.addBytes(m.content(sending.value))
 	}
 }
@@ -184,9 +185,9 @@
 	}
 	to.add(int(r.tail), boolToInt(r.sealed))
 	to.addBytes(r.body)
-	for position, place := range r.slots {
-		same := m.entries[modelKeys[position]].Revision == place.revision
-		to.add(boolToInt(same), int(place.sequence), len(place.digests))
+	for position, segmentSlot := range r.slots {
+		same := m.entries[modelKeys[position]].Revision == segmentSlot.revision
+		to.add(boolToInt(same), int(segmentSlot.sequence), len(segmentSlot.digests))
 	}
 	to.add(len(r.index))
 	for _, current := range r.index {
@@ -207,9 +208,9 @@
 		to.add(request.tries, boolToInt(request.uncertain))
 	case requestWaiting:
 		r := m.nodes[request.holder].ring
-		dropped := r == nil || r.epoch != request.term
-		to.add(request.tries, request.holder, boolToInt(dropped))
-		if !dropped {
+		lost := r == nil || r.epoch != request.term
+		to.add(request.tries, request.holder, boolToInt(lost))
+		if !lost {
 			to.add(int(max(0, request.change-r.durableChange)), int(request.decision.Verdict), len(request.decision.Refused))
 		}
 	case requestSent, requestAbandoned:
@@ -217,10 +218,10 @@
 	}
 }
 
-// dropSettled removes late writes that can no longer take effect.
-func (m *modelState) dropSettled() {
+// dropFailedWrites removes late writes that can no longer take effect.
+func (m *modelState) dropFailedWrites() {
 	m.late = slices.DeleteFunc(m.late, func(w write) bool {
-		return m.entries[w.key].Revision != w.expect && !m.unconditional
+		return m.entries[w.key].Revision != w.expectedRevision && !m.ignoresRevisions
 	})
 }
 
@@ -234,8 +235,8 @@
 
 func (m *modelState) swap(w write) (platform.Entry, error) {
 	current := m.entries[w.key]
-	if current.Revision != w.expect && !m.unconditional {
-		return platform.Entry{}, &platform.ConflictError{Key: w.key, Expect: w.expect, Current: current}
+	if current.Revision != w.expectedRevision && !m.ignoresRevisions {
+		return platform.Entry{}, &platform.ConflictError{Key: w.key, Expect: w.expectedRevision, Current: current}
 	}
 	m.revision++
 	entry := platform.Entry{Key: w.key, Value: w.value, Revision: m.revision}
--- a/internal/claim/node.go
+++ b/internal/claim/node.go
@@ -31,7 +31,7 @@
 	options = options.withDefaults()
 	boot, err := uuid.NewV7()
 	if err != nil {
-		return nil, fmt.Errorf("claim: boot id: %w", err)
+		return nil, fmt.Errorf("claim: generate boot ID: %w", err)
 	}
 	n := &Node{
 		options: options, boot: boot,
@@ -84,7 +84,7 @@
 	defer cancel()
 	reply, err := n.retryBegin(beginCtx, request)
 	if err != nil {
-		return BeginResult{}, unsettledRefusal(ctx, err)
+		return BeginResult{}, undecidedRefusal(ctx, err)
 	}
 	if reply.Refused != "" {
 		return BeginResult{}, holderRefusal(reply.Refused, key)
@@ -107,13 +107,13 @@
 // made by then, it is released in the background, since the attempt sends nothing.
 func (n *Node) retryBegin(ctx context.Context, request BeginRequest) (BeginReply, error) {
 	uncertain := false
-	var remembered BeginReply
+	var lastTermReply BeginReply
 	for {
 		reply, err := n.tryBegin(ctx, request)
 		if err == nil {
 			return reply, nil
 		}
-		remembered = reply.orElse(remembered)
+		lastTermReply = reply.orElse(lastTermReply)
 		uncertain = uncertain || !errors.Is(err, errNotHolder)
 		if ctx.Err() == nil && pause(ctx, n.options) {
 			continue
@@ -121,8 +121,8 @@
 		if uncertain && !request.KnownOnly {
 			n.abandon(request)
 		}
-		if remembered.Verdict != 0 || remembered.Refused != "" {
-			return remembered, nil
+		if lastTermReply.Verdict != 0 || lastTermReply.Refused != "" {
+			return lastTermReply, nil
 		}
 		return BeginReply{}, err
 	}
@@ -134,11 +134,11 @@
 	n.queueOutcomeAndWake(FinishRequest{Key: request.Key, Attempt: request.Attempt, Phase: phaseReleased})
 }
 
-// unsettledRefusal returns the refusal for a claim that was not decided in time. This
+// undecidedRefusal returns the refusal for a claim that was not decided in time. This
 // request was not sent, but an earlier one with the same key may have run, so the
 // outcome is unknown.
-func unsettledRefusal(caller context.Context, cause error) *refusal.Error {
-	if errors.Is(caller.Err(), context.Canceled) {
+func undecidedRefusal(callerCtx context.Context, cause error) *refusal.Error {
+	if errors.Is(callerCtx.Err(), context.Canceled) {
 		refused := refusal.New(refusal.CallerGone, stepClaim, "the caller disconnected before the call was claimed")
 		refused.Outcome, refused.Cause = refusal.Unknown, cause
 		return refused
--- a/internal/claim/options.go
+++ b/internal/claim/options.go
@@ -45,7 +45,8 @@
 	// CheckInterval is the mean time between checks of which shards to hold, and between
 	// retries of queued outcomes.
 	CheckInterval time.Duration
-	// MaxPending limits the changes of one shard that wait to be written.
+	// MaxPending is the number of changes waiting to be written at which a shard refuses
+	// new claims. Outcomes are still accepted.
 	MaxPending int
 	// MaxQueuedOutcomes limits the outcomes queued for recording in the background.
 	MaxQueuedOutcomes int
--- a/internal/claim/outage_test.go
+++ b/internal/claim/outage_test.go
@@ -75,7 +75,7 @@
 
 // New claims must be refused without waiting while the platform does not respond to the
 // current write.
-func TestStuckWriteRefusesAtOnce(t *testing.T) {
+func TestStalledWriteRefusesImmediately(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
 		c.store.setDown(true)
 		expectResult(t, "the first", c.call(t, nodes[0], testKey, "body", stepNone), resultUnknown)
@@ -121,14 +121,14 @@
 			t.Errorf("the ledger was full after %d claims", ran)
 		}
 		time.Sleep(DefaultInProgressLimit + 10*time.Minute)
-		taken := false
+		accepted := false
 		for range 30 {
 			number++
 			got := c.call(t, nodes[1], keyNumber(number), fmt.Sprint(number), stepNone)
-			taken = taken || got == resultRan
+			accepted = accepted || got == resultRan
 			time.Sleep(2 * time.Second)
 		}
-		if !taken {
+		if !accepted {
 			t.Error("the ledger accepted no claims after the old ones had expired")
 		}
 		for _, node := range nodes {
--- a/internal/claim/policy.go
+++ b/internal/claim/policy.go
@@ -14,8 +14,8 @@
 	// MaxAnswerBytes limits the encoded answer of one call. Of a larger answer only the
 	// status is kept.
 	MaxAnswerBytes int
-	// AnswerRetention is how long a recorded body is kept. After that, an ended claim is
-	// stored as a short record.
+	// AnswerRetention is how long the headers and body of an answer are kept. After that,
+	// an ended claim is stored as a short record when its segment is overwritten.
 	AnswerRetention time.Duration
 	// KeyRetention is how long an ended claim is kept; a later repeat runs again.
 	KeyRetention time.Duration
@@ -35,15 +35,15 @@
 )
 
 // Fractions of a shard's capacity above which the ring is compacted, new claims are
-// refused, and answers are recorded without bodies. The remaining capacity is reserved
-// for finishing existing claims.
+// refused, and only the status of answers is recorded. The remaining capacity is
+// reserved for finishing existing claims.
 const (
 	compactFraction  = 0.50
 	fullFraction     = 0.70
 	dropBodyFraction = 0.80
 )
 
-// fillWarning is the fill at which a warning is logged.
+// fillWarning is the value of ring.fill at which a warning is logged.
 const fillWarning = 0.6
 
 // DefaultPolicy returns the default policy.
--- a/internal/claim/random_test.go
+++ b/internal/claim/random_test.go
@@ -31,56 +31,56 @@
 
 // faultInjector injects random faults one after another until stop is closed.
 type faultInjector struct {
-	c     *cluster
-	dice  *lockedRand
-	names []string
-	count map[string]int
+	target *cluster
+	rng    *lockedRand
+	names  []string
+	counts map[string]int
 }
 
 func (x *faultInjector) run(t *testing.T, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
-			x.c.store.setDown(false)
+			x.target.store.setDown(false)
 			return
-		case <-time.After(time.Duration(50+x.dice.intN(400)) * time.Millisecond):
+		case <-time.After(time.Duration(50+x.rng.intN(400)) * time.Millisecond):
 		}
 		x.inject(t)
 	}
 }
 
 func (x *faultInjector) inject(t *testing.T) {
-	name := x.names[x.dice.intN(len(x.names))]
-	switch x.dice.intN(6) {
+	name := x.names[x.rng.intN(len(x.names))]
+	switch x.rng.intN(6) {
 	case 0:
-		x.count["restart"]++
+		x.counts["restart"]++
 		x.restart(t, name)
 	case 1:
-		x.count["outage"]++
-		x.c.store.setDown(true)
-		time.Sleep(time.Duration(x.dice.intN(4000)) * time.Millisecond)
-		x.c.store.setDown(false)
+		x.counts["outage"]++
+		x.target.store.setDown(true)
+		time.Sleep(time.Duration(x.rng.intN(4000)) * time.Millisecond)
+		x.target.store.setDown(false)
 	case 2:
-		x.count["lease expired, holder notified"]++
-		x.c.expireLeases(true)
+		x.counts["lease expired, holder notified"]++
+		x.target.expireLeases(true)
 	case 3:
-		x.count["lease expired, holder not notified"]++
-		x.c.expireLeases(false)
+		x.counts["lease expired, holder not notified"]++
+		x.target.expireLeases(false)
 	case 4:
-		x.count["owner moved"]++
-		x.c.setPreferred(name)
+		x.counts["preferred holder changed"]++
+		x.target.setPreferred(name)
 	case 5:
-		x.count["late writes"]++
-		x.c.store.deliverLate()
+		x.counts["late writes"]++
+		x.target.store.deliverLate()
 	}
 }
 
 func (x *faultInjector) restart(t *testing.T, name string) {
-	old := x.c.node(name)
-	x.c.kill(old)
+	old := x.target.node(name)
+	x.target.kill(old)
 	old.stop()
-	time.Sleep(time.Duration(x.dice.intN(500)) * time.Millisecond)
-	x.c.start(t, name, smallRing)
+	time.Sleep(time.Duration(x.rng.intN(500)) * time.Millisecond)
+	x.target.start(t, name, smallRing)
 }
 
 // smallRing makes the rings wrap around many times during the run.
@@ -110,8 +110,8 @@
 	d := &lockedRand{random: rand.New(rand.NewPCG(seed, 7))}
 	c := newCluster()
 	c.store.latency = 3 * time.Millisecond
-	c.cutBefore = func() bool { return d.oneIn(50) }
-	c.cutAfter = func() bool { return d.oneIn(50) }
+	c.dropRequest = func() bool { return d.oneIn(50) }
+	c.dropReply = func() bool { return d.oneIn(50) }
 	c.nextOutcome = func() OutcomeKind {
 		return []OutcomeKind{OutcomeReleased, OutcomeUnknown, OutcomeRecorded, OutcomeRecorded, OutcomeRecorded}[d.intN(5)]
 	}
@@ -121,7 +121,7 @@
 		}
 		return faultNone
 	})
-	x := &faultInjector{c: c, dice: d, names: []string{"n1", "n2", "n3", "n4"}, count: make(map[string]int)}
+	x := &faultInjector{target: c, rng: d, names: []string{"n1", "n2", "n3", "n4"}, counts: make(map[string]int)}
 	for _, name := range x.names {
 		c.start(t, name, smallRing)
 	}
@@ -135,7 +135,7 @@
 	close(stop)
 	<-stopped
 	c.checkResults(t, results)
-	t.Logf("%v", x.count)
+	t.Logf("%v", x.counts)
 	for _, name := range x.names {
 		node := c.node(name)
 		node.stop()
@@ -151,9 +151,9 @@
 	for range randomCallers {
 		group.Go(func() {
 			for key := range work {
-				time.Sleep(time.Duration(x.dice.intN(100)) * time.Millisecond)
-				node := x.c.node(x.names[x.dice.intN(len(x.names))])
-				got := x.c.call(t, node, key, key.IdempotencyKey, stepNone)
+				time.Sleep(time.Duration(x.rng.intN(100)) * time.Millisecond)
+				node := x.target.node(x.names[x.rng.intN(len(x.names))])
+				got := x.target.call(t, node, key, key.IdempotencyKey, stepNone)
 				mu.Lock()
 				results[key] = append(results[key], got)
 				mu.Unlock()
@@ -182,15 +182,15 @@
 		if runs > 1 {
 			twice++
 		}
-		only := make(map[callResult]bool)
+		distinct := make(map[callResult]bool)
 		for _, got := range all {
 			counts[got]++
-			only[got] = true
+			distinct[got] = true
 		}
-		if len(only) == 1 && only[resultNotRun] && runs != 0 {
+		if len(distinct) == 1 && distinct[resultNotRun] && runs != 0 {
 			t.Errorf("%v ran although every request got not-run", key)
 		}
-		if (only[resultRecorded] || only[resultRan]) && runs != 1 {
+		if (distinct[resultRecorded] || distinct[resultRan]) && runs != 1 {
 			t.Errorf("%v: callers got %v but it ran %d times", key, all, runs)
 		}
 	}
--- a/internal/claim/recover.go
+++ b/internal/claim/recover.go
@@ -34,11 +34,11 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, next := range segments {
-		if next.segment.GetEpoch() > epoch {
+	for _, stored := range segments {
+		if stored.segment.GetEpoch() > epoch {
 			return nil, errSuperseded
 		}
-		if err := r.replay(next); err != nil {
+		if err := r.replay(stored); err != nil {
 			return nil, err
 		}
 	}
@@ -60,7 +60,7 @@
 		}
 		segment := &claimv1.Segment{}
 		if err := proto.Unmarshal(entry.Value, segment); err != nil {
-			return nil, fmt.Errorf("key %s: %w", entry.Key, err)
+			return nil, fmt.Errorf("decode segment %s: %w", entry.Key, err)
 		}
 		segments = append(segments, storedSegment{position: position, revision: entry.Revision, segment: segment})
 	}
@@ -70,19 +70,19 @@
 	return segments, nil
 }
 
-func (r *ring) replay(next storedSegment) error {
-	segmentSlot := &r.slots[next.position]
-	segmentSlot.revision = next.revision
-	segmentSlot.sequence = next.segment.GetSequence()
+func (r *ring) replay(stored storedSegment) error {
+	segmentSlot := &r.slots[stored.position]
+	segmentSlot.revision = stored.revision
+	segmentSlot.sequence = stored.segment.GetSequence()
 	r.tail = segmentSlot.sequence
-	r.sealed = next.segment.GetSealed()
-	for _, packed := range next.segment.GetShortRecords() {
+	r.sealed = stored.segment.GetSealed()
+	for _, packed := range stored.segment.GetShortRecords() {
 		if _, err := decodeShortRecord(packed); err != nil {
 			return err
 		}
 		r.restore(segmentSlot, digest(packed[:len(digest{})]), indexEntry{encoded: packed, short: true})
 	}
-	for _, record := range next.segment.GetRecords() {
+	for _, record := range stored.segment.GetRecords() {
 		encoded, err := proto.Marshal(record)
 		if err != nil {
 			return err
@@ -92,9 +92,9 @@
 	return nil
 }
 
-func (r *ring) restore(segmentSlot *slot, id digest, state indexEntry) {
-	state.sequence = segmentSlot.sequence
-	r.replace(id, state)
+func (r *ring) restore(segmentSlot *slot, id digest, entry indexEntry) {
+	entry.sequence = segmentSlot.sequence
+	r.replace(id, entry)
 	segmentSlot.digests = append(segmentSlot.digests, id)
 }
 
--- a/internal/claim/region_test.go
+++ b/internal/claim/region_test.go
@@ -14,7 +14,7 @@
 		c := newCluster()
 		c.store.latency = 3 * time.Millisecond
 		c.regions = map[string]string{"e1": "east", "e2": "east", "w1": "west", "w2": "west"}
-		c.preferredIn = map[string]string{"east": "e1", "west": "w1"}
+		c.preferredByRegion = map[string]string{"east": "e1", "west": "w1"}
 		east := []*testNode{c.start(t, "e1", nil), c.start(t, "e2", nil)}
 		waitUntilSettled()
 		west := []*testNode{c.start(t, "w1", nil), c.start(t, "w2", nil)}
--- a/internal/claim/regions_test.go
+++ b/internal/claim/regions_test.go
@@ -18,19 +18,19 @@
 	"galenatrestle/internal/platform/memstore"
 )
 
-// regionLink routes claims between nodes by address. It implements claim.Peers.
-type regionLink map[string]*claim.Node
+// regionPeers routes claims between nodes by address. It implements claim.Peers.
+type regionPeers map[string]*claim.Node
 
 var errNoRoute = errors.New("no route")
 
-func (l regionLink) Begin(ctx context.Context, address string, request claim.BeginRequest) (claim.BeginReply, error) {
+func (l regionPeers) Begin(ctx context.Context, address string, request claim.BeginRequest) (claim.BeginReply, error) {
 	if node, ok := l[address]; ok {
 		return node.ServeBegin(ctx, request)
 	}
 	return claim.BeginReply{}, errNoRoute
 }
 
-func (l regionLink) Finish(ctx context.Context, address string, request claim.FinishRequest) (claim.FinishReply, error) {
+func (l regionPeers) Finish(ctx context.Context, address string, request claim.FinishRequest) (claim.FinishReply, error) {
 	if node, ok := l[address]; ok {
 		return node.ServeFinish(ctx, request)
 	}
@@ -48,7 +48,7 @@
 }
 
 // newRegionNode returns the only node of a region; its view has no other members.
-func newRegionNode(t *testing.T, store platform.Store, link regionLink, name string) *claim.Node {
+func newRegionNode(t *testing.T, store platform.Store, peers regionPeers, name string) *claim.Node {
 	t.Helper()
 	address := name + ":9000"
 	metrics, err := lease.NewMetrics(prometheus.NewRegistry())
@@ -63,12 +63,12 @@
 	self := membership.Member{Name: name, PeerAddress: address, Region: name, State: membership.StateServing}
 	table := membership.NewTable(self, membership.Settings{}, rand.New(rand.NewPCG(1, 1)), time.Now())
 	node, err := claim.NewNode(claim.Options{
-		Store: store, Leases: regionLeases{source}, View: table.Snapshot(), Peers: link, Random: rand.New(rand.NewPCG(2, 2)),
+		Store: store, Leases: regionLeases{source}, View: table.Snapshot(), Peers: peers, Random: rand.New(rand.NewPCG(2, 2)),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	link[address] = node
+	peers[address] = node
 	return node
 }
 
@@ -77,15 +77,15 @@
 func TestClaimsFromAnotherRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New(memstore.Config{})
-		link := regionLink{}
-		east, west := newRegionNode(t, store, link, "east"), newRegionNode(t, store, link, "west")
+		peers := regionPeers{}
+		east, west := newRegionNode(t, store, peers, "east"), newRegionNode(t, store, peers, "west")
 		begin := func(node *claim.Node, i int) claim.Verdict {
 			key := claim.Key{Workspace: "w", Upstream: "u", IdempotencyKey: fmt.Sprint(i)}
-			grant, err := node.Begin(t.Context(), key, claim.Fingerprint{})
+			result, err := node.Begin(t.Context(), key, claim.Fingerprint{})
 			if err != nil {
 				t.Errorf("claim %d: %v", i, err)
 			}
-			return grant.Verdict
+			return result.Verdict
 		}
 		eastCtx, stopEast := context.WithCancel(t.Context())
 		eastDone := run(eastCtx, east)
@@ -113,7 +113,7 @@
 
 		stopEast()
 		<-eastDone
-		delete(link, "east:9000")
+		delete(peers, "east:9000")
 		time.Sleep(20 * time.Second)
 		for i := range claims {
 			if verdict := begin(west, claims+i); verdict != claim.Run {
--- a/internal/claim/ring.go
+++ b/internal/claim/ring.go
@@ -33,19 +33,19 @@
 	short   bool
 }
 
-func (h indexEntry) size() int {
-	if h.encoded == nil {
+func (e indexEntry) size() int {
+	if e.encoded == nil {
 		return 0
 	}
-	return protowire.SizeTag(recordsField) + protowire.SizeBytes(len(h.encoded))
+	return protowire.SizeTag(recordsField) + protowire.SizeBytes(len(e.encoded))
 }
 
-func (h indexEntry) state() (*claimv1.Record, error) {
-	if h.short {
-		return decodeShortRecord(h.encoded)
+func (e indexEntry) state() (*claimv1.Record, error) {
+	if e.short {
+		return decodeShortRecord(e.encoded)
 	}
 	state := &claimv1.Record{}
-	if err := proto.Unmarshal(h.encoded, state); err != nil {
+	if err := proto.Unmarshal(e.encoded, state); err != nil {
 		return nil, err
 	}
 	return state, nil
@@ -178,7 +178,7 @@
 	return max(indexFill, excessFill)
 }
 
-// dropsBodies reports whether answers are recorded without their bodies.
+// dropsBodies reports whether only the status of answers is recorded.
 func (r *ring) dropsBodies() bool {
 	return float64(r.bytes) > dropBodyFraction*float64(r.policy.capacity())
 }
--- a/internal/claim/ring_test.go
+++ b/internal/claim/ring_test.go
@@ -27,66 +27,66 @@
 }
 
 func newRingHarness(t testing.TB, policy Policy) *ringHarness {
-	b := &ringHarness{t: t, entries: make(map[string]platform.Entry), now: time.UnixMilli(1_700_000_000_000)}
-	b.recover(policy, 1)
-	return b
+	harness := &ringHarness{t: t, entries: make(map[string]platform.Entry), now: time.UnixMilli(1_700_000_000_000)}
+	harness.recover(policy, 1)
+	return harness
 }
 
-func (b *ringHarness) recover(policy Policy, epoch int64) {
-	b.t.Helper()
+func (h *ringHarness) recover(policy Policy, epoch int64) {
+	h.t.Helper()
 	var entries []platform.Entry
-	for _, entry := range b.entries {
+	for _, entry := range h.entries {
 		entries = append(entries, entry)
 	}
 	var err error
-	b.ring, err = recoverRing(policy, "claims/", "n1", epoch, entries)
+	h.ring, err = recoverRing(policy, "claims/", "n1", epoch, entries)
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	b.write()
+	h.write()
 }
 
 // write performs writes until no changes are pending.
-func (b *ringHarness) write() {
-	b.t.Helper()
-	for first := true; first || len(b.ring.pending) > 0; first = false {
-		next, err := b.ring.nextWrite(b.now, uuid.New())
+func (h *ringHarness) write() {
+	h.t.Helper()
+	for first := true; first || len(h.ring.pending) > 0; first = false {
+		next, err := h.ring.nextWrite(h.now, uuid.New())
 		if err != nil {
-			b.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 		if len(next.value) > platform.MaxValueBytes {
-			b.t.Fatalf("a write of %d bytes", len(next.value))
+			h.t.Fatalf("a write of %d bytes", len(next.value))
 		}
-		if b.entries[next.key].Revision != next.expect {
-			b.t.Fatalf("write to %s expects revision %d, not %d", next.key, next.expect, b.entries[next.key].Revision)
+		if h.entries[next.key].Revision != next.expectedRevision {
+			h.t.Fatalf("write to %s expects revision %d, not %d", next.key, next.expectedRevision, h.entries[next.key].Revision)
 		}
-		b.revision++
-		b.entries[next.key] = platform.Entry{Key: next.key, Value: next.value, Revision: b.revision}
-		b.ring.markWritten(next, b.revision)
+		h.revision++
+		h.entries[next.key] = platform.Entry{Key: next.key, Value: next.value, Revision: h.revision}
+		h.ring.markWritten(next, h.revision)
 	}
 }
 
-func (b *ringHarness) begin(key Key, attempt uuid.UUID, refuse refusal.Reason) Decision {
-	b.t.Helper()
+func (h *ringHarness) begin(key Key, attempt uuid.UUID, refuse refusal.Reason) Decision {
+	h.t.Helper()
 	command := BeginCommand{
-		Key: key, Attempt: attempt, Node: "n1", Now: b.now, RefuseNew: refuse,
+		Key: key, Attempt: attempt, Node: "n1", Now: h.now, RefuseNew: refuse,
 		ProcessEnded: func(string, uuid.UUID) bool { return false },
 	}
-	decision, _, err := b.ring.apply(key, command, b.now)
+	decision, _, err := h.ring.apply(key, command, h.now)
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return decision
 }
 
-func (b *ringHarness) finish(key Key, attempt uuid.UUID, phase claimv1.Phase, body []byte) {
-	b.t.Helper()
-	command := FinishCommand{Key: key, Attempt: attempt, Phase: phase, Now: b.now}
+func (h *ringHarness) finish(key Key, attempt uuid.UUID, phase claimv1.Phase, body []byte) {
+	h.t.Helper()
+	command := FinishCommand{Key: key, Attempt: attempt, Phase: phase, Now: h.now}
 	if phase == phaseRecorded {
 		command.Answer = &claimv1.Answer{Status: 201, Body: body}
 	}
-	if _, _, err := b.ring.apply(key, command, b.now); err != nil {
-		b.t.Fatal(err)
+	if _, _, err := h.ring.apply(key, command, h.now); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
@@ -110,33 +110,33 @@
 func TestRecoveryMatchesWrittenRing(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	policy := smallPolicy()
-	b := newRingHarness(t, policy)
+	harness := newRingHarness(t, policy)
 	sealed := 0
 	for round := range int64(400) {
 		for range 1 + random.IntN(6) {
 			n := random.IntN(3000)
-			if !b.ring.isFull() && b.begin(keyNumber(n), attemptNumber(n), "").Verdict == Run {
+			if !harness.ring.isFull() && harness.begin(keyNumber(n), attemptNumber(n), "").Verdict == Run {
 				phases := []claimv1.Phase{phaseRecorded, phaseUnknown, phaseReleased, claimv1.Phase_PHASE_UNSPECIFIED}
 				if phase := phases[random.IntN(4)]; phase != 0 {
-					b.finish(keyNumber(n), attemptNumber(n), phase, bytes.Repeat([]byte("x"), random.IntN(200)))
+					harness.finish(keyNumber(n), attemptNumber(n), phase, bytes.Repeat([]byte("x"), random.IntN(200)))
 				}
 			}
 		}
-		b.ring.compact = b.ring.isFull()
-		b.write()
-		b.now = b.now.Add(time.Duration(random.IntN(60)) * time.Minute)
-		if b.ring.sealed {
+		harness.ring.compact = harness.ring.isFull()
+		harness.write()
+		harness.now = harness.now.Add(time.Duration(random.IntN(60)) * time.Minute)
+		if harness.ring.sealed {
 			sealed++
 		}
-		before := b.ring
-		b.recover(policy, round+2)
-		compareRings(t, before, b.ring, b.now)
+		before := harness.ring
+		harness.recover(policy, round+2)
+		compareRings(t, before, harness.ring, harness.now)
 		if t.Failed() {
 			t.Fatalf("round %d", round)
 		}
 	}
-	if b.ring.tail < 3*int64(policy.Segments) || sealed == 0 {
-		t.Errorf("the ring only reached segment %d", b.ring.tail)
+	if harness.ring.tail < 3*int64(policy.Segments) || sealed == 0 {
+		t.Errorf("the ring only reached segment %d", harness.ring.tail)
 	}
 }
 
@@ -173,42 +173,42 @@
 
 // A full ring refuses new claims, still finishes and returns existing ones, and has room
 // again after they have expired.
-func TestFullLedger(t *testing.T) {
+func TestFullRing(t *testing.T) {
 	policy := smallPolicy()
-	b := newRingHarness(t, policy)
+	harness := newRingHarness(t, policy)
 	claimed := 0
-	for ; !b.ring.isFull(); claimed++ {
-		if fill := b.ring.fill(); fill > 1 {
+	for ; !harness.ring.isFull(); claimed++ {
+		if fill := harness.ring.fill(); fill > 1 {
 			t.Fatalf("the fill is %v, but claims are accepted", fill)
 		}
-		if b.begin(keyNumber(claimed), attemptNumber(claimed), "").Verdict != Run {
+		if harness.begin(keyNumber(claimed), attemptNumber(claimed), "").Verdict != Run {
 			t.Fatal("a new claim did not run")
 		}
-		b.write()
+		harness.write()
 	}
-	if fill := b.ring.fill(); fill < 1 {
+	if fill := harness.ring.fill(); fill < 1 {
 		t.Errorf("the fill is %v, but no claims are accepted", fill)
 	}
-	if got := b.begin(keyNumber(claimed), attemptNumber(claimed), refusal.ClaimLedgerFull); got.Refused != refusal.ClaimLedgerFull {
-		t.Errorf("a claim past the bound got %+v", got)
+	if got := harness.begin(keyNumber(claimed), attemptNumber(claimed), refusal.ClaimLedgerFull); got.Refused != refusal.ClaimLedgerFull {
+		t.Errorf("a new claim on the full ring got %+v", got)
 	}
 	for n := range claimed {
-		b.finish(keyNumber(n), attemptNumber(n), phaseRecorded, nil)
-		b.write()
+		harness.finish(keyNumber(n), attemptNumber(n), phaseRecorded, nil)
+		harness.write()
 	}
-	b.recover(policy, 2)
+	harness.recover(policy, 2)
 	for n := range claimed {
-		if got := b.begin(keyNumber(n), uuid.New(), refusal.ClaimLedgerFull); got.Verdict != Recorded {
-			t.Fatalf("claim %d of %d in a full ledger got %+v", n, claimed, got)
+		if got := harness.begin(keyNumber(n), uuid.New(), refusal.ClaimLedgerFull); got.Verdict != Recorded {
+			t.Fatalf("claim %d of %d on the full ring got %+v", n, claimed, got)
 		}
 	}
-	b.now = b.now.Add(policy.KeyRetention + time.Minute)
+	harness.now = harness.now.Add(policy.KeyRetention + time.Minute)
 	for range 2 * policy.Segments {
-		b.ring.compact = true
-		b.write()
+		harness.ring.compact = true
+		harness.write()
 	}
-	if b.ring.fill() > 0 || len(b.ring.index) != 0 {
-		t.Errorf("%d claims and %d bytes are left after their retention", len(b.ring.index), b.ring.bytes)
+	if harness.ring.fill() > 0 || len(harness.ring.index) != 0 {
+		t.Errorf("%d claims and %d bytes are left after their retention", len(harness.ring.index), harness.ring.bytes)
 	}
 }
 
@@ -216,11 +216,11 @@
 func TestRetention(t *testing.T) {
 	policy := smallPolicy()
 	policy.AnswerRetention = time.Hour
-	b := newRingHarness(t, policy)
-	b.begin(keyNumber(1), attemptNumber(1), "")
-	b.finish(keyNumber(1), attemptNumber(1), phaseRecorded, []byte("answer"))
-	b.begin(keyNumber(2), attemptNumber(2), "")
-	b.write()
+	harness := newRingHarness(t, policy)
+	harness.begin(keyNumber(1), attemptNumber(1), "")
+	harness.finish(keyNumber(1), attemptNumber(1), phaseRecorded, []byte("answer"))
+	harness.begin(keyNumber(2), attemptNumber(2), "")
+	harness.write()
 	steps := []struct {
 		after      time.Duration
 		first      Verdict
@@ -232,28 +232,28 @@
 		{policy.AnswerRetention, Recorded, true, Unknown},
 	}
 	for _, step := range steps {
-		b.now = b.now.Add(step.after)
-		first := b.begin(keyNumber(1), uuid.New(), "")
+		harness.now = harness.now.Add(step.after)
+		first := harness.begin(keyNumber(1), uuid.New(), "")
 		if first.Verdict != step.first || first.Answer.GetBodyDropped() != step.dropped || first.Answer.GetStatus() != 201 {
 			t.Errorf("after %v the recorded claim got %+v", step.after, first)
 		}
-		if second := b.begin(keyNumber(2), uuid.New(), ""); second.Verdict != step.unfinished {
+		if second := harness.begin(keyNumber(2), uuid.New(), ""); second.Verdict != step.unfinished {
 			t.Errorf("after %v the unfinished claim got %+v", step.after, second)
 		}
 	}
-	b.now = b.now.Add(policy.KeyRetention)
-	if got := b.begin(keyNumber(1), uuid.New(), ""); got.Verdict != Run {
+	harness.now = harness.now.Add(policy.KeyRetention)
+	if got := harness.begin(keyNumber(1), uuid.New(), ""); got.Verdict != Run {
 		t.Errorf("past its retention the claim got %+v", got)
 	}
 }
 
 // Recovery must fail on unreadable entries and on an epoch older than the stored one.
-func TestRecoverRefuses(t *testing.T) {
+func TestRecoverRejectsInvalidEntries(t *testing.T) {
 	policy := smallPolicy()
-	b := newRingHarness(t, policy)
-	b.recover(policy, 5)
-	good := slices.Collect(func(yield func(platform.Entry) bool) {
-		for _, entry := range b.entries {
+	harness := newRingHarness(t, policy)
+	harness.recover(policy, 5)
+	valid := slices.Collect(func(yield func(platform.Entry) bool) {
+		for _, entry := range harness.entries {
 			if !yield(entry) {
 				return
 			}
@@ -263,7 +263,7 @@
 		epoch   int64
 		entries []platform.Entry
 	}{
-		"an older epoch":      {4, good},
+		"an older epoch":      {4, valid},
 		"a broken value":      {6, []platform.Entry{{Key: segmentKey("claims/", 1), Value: []byte{0xff}, Revision: 1}}},
 		"a key past the ring": {6, []platform.Entry{{Key: segmentKey("claims/", policy.Segments), Revision: 1}}},
 	}
@@ -272,7 +272,7 @@
 			t.Errorf("%s was accepted", name)
 		}
 	}
-	if _, err := recoverRing(policy, "claims/", "n1", 6, good); err != nil {
-		t.Errorf("a good ring was refused: %v", err)
+	if _, err := recoverRing(policy, "claims/", "n1", 6, valid); err != nil {
+		t.Errorf("a valid ring was rejected: %v", err)
 	}
 }
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -12,39 +12,42 @@
 	"galenatrestle/internal/refusal"
 )
 
-// shard is one shard on this node: held, remembered from an earlier term, or unknown.
+// shard is this node's state of one shard. The node holds the shard, has retained its
+// ring from an earlier term, or has no state of it.
 type shard struct {
-	number  int
-	options Options
-	metrics *metrics
-	limiter *rate.Limiter
-	wake    chan struct{}
+	number       int
+	options      Options
+	metrics      *metrics
+	writeLimiter *rate.Limiter
+	wake         chan struct{}
 	// flushLimiter delays writes smaller than Options.FlushBytes to batch changes.
 	flushLimiter *rate.Limiter
 
 	mu sync.Mutex
 	// ring is nil if this node has no state of the shard.
 	ring *ring
-	// holding reports whether the ring accepts changes. If false, the ring only serves
-	// remembered decisions.
+	// holding reports whether the ring accepts changes. If false, the ring is only used
+	// for decisions from the last term.
 	holding bool
 	// term is the current or last term in which this node held the shard.
 	term Term
-	// stuck reports that the current write has failed at least stuckAfterTries times.
-	stuck bool
+	// writeStalled reports that the current write has failed at least stalledAfterTries
+	// times.
+	writeStalled bool
 	// progress is closed and replaced whenever a waiter must check the shard again: a
 	// change became durable, a write failed, or the shard was gained or lost.
-	progress       chan struct{}
+	progress chan struct{}
+	// warned reports that the fill warning has been logged and still applies.
 	warned         bool
 	lastCompaction time.Time
 }
 
 func newShard(number int, options Options, metrics *metrics) *shard {
-	perShard := options.WritesPerSecond / float64(options.Policy.Shards)
+	writesPerSecond := options.WritesPerSecond / float64(options.Policy.Shards)
 	return &shard{
 		number: number, options: options, metrics: metrics,
-		limiter: rate.NewLimiter(rate.Limit(perShard), writeBurst),
-		wake:    make(chan struct{}, 1),
+		writeLimiter: rate.NewLimiter(rate.Limit(writesPerSecond), writeBurst),
+		wake:         make(chan struct{}, 1),
 
 		flushLimiter: rate.NewLimiter(options.flushLimit(), flushBurst),
 		progress:     make(chan struct{}),
@@ -52,8 +55,8 @@
 }
 
 // begin runs a Begin on a shard that this node holds. errNotHolder guarantees that
-// nothing changed, and comes with the remembered decision; after errUncertain the claim
-// may have been made.
+// nothing changed, and comes with the decision from this node's last term, if any;
+// after errUncertain the claim may have been made.
 func (s *shard) begin(ctx context.Context, request BeginRequest, processEnded func(string, uuid.UUID) bool) (Decision, error) {
 	now := time.Now()
 	command := BeginCommand{
@@ -63,7 +66,7 @@
 	s.mu.Lock()
 	if !s.holding {
 		defer s.mu.Unlock()
-		return s.answerFromMemory(command), errNotHolder
+		return s.decideFromLastTerm(command), errNotHolder
 	}
 	command.RefuseNew = s.refusalForNew(now)
 	if request.KnownOnly {
@@ -93,7 +96,7 @@
 // lock; run releases it.
 func (s *shard) run(ctx context.Context, key Key, command Command, now time.Time) (Decision, error) {
 	current := s.ring
-	decision, number, err := current.apply(key, command, now)
+	decision, changeNumber, err := current.apply(key, command, now)
 	s.mu.Unlock()
 	if err != nil {
 		return Decision{}, errUncertain
@@ -101,16 +104,16 @@
 	if impliesNotRun(decision) && !s.stillHolds(current) {
 		return Decision{}, errNotHolder
 	}
-	if number == 0 || decision.Refused != "" {
+	if changeNumber == 0 || decision.Refused != "" {
 		return decision, nil
 	}
 	s.wakeWriter()
 	otherAttempt := decision.Verdict != 0 && decision.Verdict != Run
-	err = s.waitDurable(ctx, current, number, otherAttempt)
+	err = s.waitDurable(ctx, current, changeNumber, otherAttempt)
 	if err == nil {
 		return decision, nil
 	}
-	if err == errStuck {
+	if err == errWriteStalled {
 		return Decision{Verdict: InProgress}, nil
 	}
 	return Decision{}, err
@@ -134,10 +137,10 @@
 	return s.holding && s.ring == current && s.term.Held(time.Now())
 }
 
-// answerFromMemory returns the decision from the last term in which this node held the
+// decideFromLastTerm returns the decision from the last term in which this node held the
 // shard: what was durable, and in progress for what was not. It is used only if no
 // holder can be reached, as in a platform outage, and never returns Run.
-func (s *shard) answerFromMemory(command BeginCommand) Decision {
+func (s *shard) decideFromLastTerm(command BeginCommand) Decision {
 	if s.ring == nil {
 		return Decision{}
 	}
@@ -162,7 +165,7 @@
 
 // refusalForNew returns the reason to refuse new claims; empty if they are accepted.
 func (s *shard) refusalForNew(now time.Time) refusal.Reason {
-	if s.stuck || len(s.ring.pending) >= s.options.MaxPending {
+	if s.writeStalled || len(s.ring.pending) >= s.options.MaxPending {
 		return refusal.ClaimStoreDown
 	}
 	if s.ring.shouldCompact() && now.Sub(s.lastCompaction) >= compactInterval {
@@ -176,27 +179,28 @@
 	return ""
 }
 
+// compactInterval is the minimum time between two compactions of a shard.
 const compactInterval = time.Second
 
 // waitDurable returns nil once the change is durable, otherwise errUncertain. For a
 // change by another attempt it returns errStuck as soon as the platform stops
 // responding: that attempt may still run, so the call must not be reported as not-run.
-func (s *shard) waitDurable(ctx context.Context, current *ring, number int64, otherAttempt bool) error {
+func (s *shard) waitDurable(ctx context.Context, current *ring, changeNumber int64, otherAttempt bool) error {
 	for {
 		s.mu.Lock()
-		durable := current.durableChange >= number
-		dropped := s.ring != current || !s.holding
-		stuck := s.stuck && otherAttempt
+		durable := current.durableChange >= changeNumber
+		lost := s.ring != current || !s.holding
+		stalled := s.writeStalled && otherAttempt
 		progress := s.progress
 		s.mu.Unlock()
 		if durable {
 			return nil
 		}
-		if dropped {
+		if lost {
 			return errUncertain
 		}
-		if stuck {
-			return errStuck
+		if stalled {
+			return errWriteStalled
 		}
 		select {
 		case <-progress:
--- a/internal/claim/shardholder.go
+++ b/internal/claim/shardholder.go
@@ -30,25 +30,25 @@
 }
 
 // run tries to acquire the lease and hold the shard whenever this node is the preferred
-// holder or an acquisition was requested because the holder did not respond.
+// holder or an acquisition was requested, until ctx ends.
 func (m *leaseManager) run(ctx context.Context) {
 	requested := false
 	for {
 		if requested || m.isPreferred() {
 			m.tryAcquire(ctx)
 		}
-		var live bool
-		requested, live = m.waitForCheck(ctx)
-		if !live {
+		var running bool
+		requested, running = m.waitForCheck(ctx)
+		if !running {
 			return
 		}
 	}
 }
 
 // waitForCheck waits for the next check. A request shortens the wait to about a quarter
-// of CheckInterval, but not to zero, to limit the platform calls of a busy node without
-// a holder.
-func (m *leaseManager) waitForCheck(ctx context.Context) (requested, live bool) {
+// of CheckInterval, but not to zero, to limit the platform calls of a busy node that
+// knows no holder. It returns running as false if ctx ends.
+func (m *leaseManager) waitForCheck(ctx context.Context) (requested, running bool) {
 	minWait := m.options.jitter.around(m.options.CheckInterval / 4)
 	if ctxtime.Sleep(ctx, minWait) != nil {
 		return false, false
@@ -110,15 +110,15 @@
 	}
 }
 
-// yieldToPreferred calls stop when another node has become the preferred holder. It
-// returns when ctx ends.
+// yieldToPreferred calls stop once another serving node has been the preferred holder
+// for yieldAfterChecks consecutive checks. It also returns when ctx ends.
 func (m *leaseManager) yieldToPreferred(ctx context.Context, stop func()) {
 	for mismatches := 0; mismatches < yieldAfterChecks; {
 		if ctxtime.Sleep(ctx, m.options.CheckInterval) != nil {
 			return
 		}
 		mismatches++
-		if owner := m.options.View.Owner(m.name); m.isSelf(owner) || owner.State != membership.StateServing {
+		if preferred := m.options.View.Owner(m.name); m.isSelf(preferred) || preferred.State != membership.StateServing {
 			mismatches = 0
 		}
 	}
@@ -166,8 +166,8 @@
 	return true
 }
 
-// clearHolder drops the known holder after it failed to respond as one. The epoch is
-// kept, so that older hints are ignored.
+// clearHolder forgets the known holder, because it failed to serve a request or this
+// node has acquired the lease. The epoch is kept, so that older hints are ignored.
 func (m *leaseManager) clearHolder() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -182,7 +182,8 @@
 
 // holderAddress returns the peer address of the presumed holder. It prefers the address
 // in the lease, since the view may still have that of an earlier process of the node. If
-// the presumed holder is this node, it returns false and requests the lease.
+// the presumed holder is this node or has no known address, it returns false and
+// requests the lease.
 func (m *leaseManager) holderAddress() (string, bool) {
 	node, address := parseHolderName(m.holderHint().Holder)
 	self := m.options.View.Self().Name
--- a/internal/claim/short_test.go
+++ b/internal/claim/short_test.go
@@ -10,11 +10,11 @@
 	"galenatrestle/internal/refusal"
 )
 
-func (b *ringHarness) overwriteAllSegments() {
-	b.t.Helper()
-	for range len(b.ring.slots) + 1 {
-		b.ring.compact = true
-		b.write()
+func (h *ringHarness) overwriteAllSegments() {
+	h.t.Helper()
+	for range len(h.ring.slots) + 1 {
+		h.ring.compact = true
+		h.write()
 	}
 }
 
@@ -36,22 +36,22 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			policy := smallPolicy()
-			b := newRingHarness(t, policy)
-			b.now = b.now.Add(time.Millisecond)
-			ended := b.now
-			b.begin(keyNumber(1), attemptNumber(1), "")
-			b.finish(keyNumber(1), attemptNumber(1), test.phase, make([]byte, 200))
-			b.write()
-			b.now = ended.Add(policy.AnswerRetention + time.Millisecond)
-			b.overwriteAllSegments()
-			if current := b.ring.index[digestOf(keyNumber(1))]; !current.short || current.size() > 48 {
+			harness := newRingHarness(t, policy)
+			harness.now = harness.now.Add(time.Millisecond)
+			ended := harness.now
+			harness.begin(keyNumber(1), attemptNumber(1), "")
+			harness.finish(keyNumber(1), attemptNumber(1), test.phase, make([]byte, 200))
+			harness.write()
+			harness.now = ended.Add(policy.AnswerRetention + time.Millisecond)
+			harness.overwriteAllSegments()
+			if current := harness.ring.index[digestOf(keyNumber(1))]; !current.short || current.size() > 48 {
 				t.Errorf("the claim takes %d bytes, short %v", current.size(), current.short)
 			}
-			ask := func(at time.Duration, verdict Verdict, refused refusal.Reason) {
+			expectRepeat := func(at time.Duration, verdict Verdict, refused refusal.Reason) {
 				t.Helper()
-				b.now = ended.Add(at)
-				command := BeginCommand{Key: keyNumber(1), CallFingerprint: test.content, Attempt: uuid.New(), Now: b.now}
-				state, err := b.ring.lookup(b.ring.index[digestOf(keyNumber(1))], len(b.ring.index) > 0, b.now)
+				harness.now = ended.Add(at)
+				command := BeginCommand{Key: keyNumber(1), CallFingerprint: test.content, Attempt: uuid.New(), Now: harness.now}
+				state, err := harness.ring.lookup(harness.ring.index[digestOf(keyNumber(1))], len(harness.ring.index) > 0, harness.now)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -63,10 +63,10 @@
 					t.Errorf("the recorded answer is %v", got.Answer)
 				}
 			}
-			ask(policy.KeyRetention, test.verdict, test.refused)
-			b.recover(policy, 2)
-			ask(policy.KeyRetention, test.verdict, test.refused)
-			ask(policy.KeyRetention+2*time.Second, Run, "")
+			expectRepeat(policy.KeyRetention, test.verdict, test.refused)
+			harness.recover(policy, 2)
+			expectRepeat(policy.KeyRetention, test.verdict, test.refused)
+			expectRepeat(policy.KeyRetention+2*time.Second, Run, "")
 		})
 	}
 }
@@ -75,23 +75,23 @@
 // shortened and recovered.
 func TestShortUnknownIsRecorded(t *testing.T) {
 	policy := smallPolicy()
-	b := newRingHarness(t, policy)
-	b.begin(keyNumber(1), attemptNumber(1), "")
-	b.finish(keyNumber(1), attemptNumber(1), phaseUnknown, nil)
-	b.now = b.now.Add(policy.AnswerRetention + time.Second)
-	b.overwriteAllSegments()
-	b.recover(policy, 2)
-	b.finish(keyNumber(1), attemptNumber(2), phaseRecorded, []byte("another's"))
-	b.finish(keyNumber(1), attemptNumber(1), phaseRecorded, []byte("late"))
-	b.write()
-	b.recover(policy, 3)
-	if got := b.begin(keyNumber(1), uuid.New(), ""); got.Verdict != Recorded || string(got.Answer.GetBody()) != "late" {
+	harness := newRingHarness(t, policy)
+	harness.begin(keyNumber(1), attemptNumber(1), "")
+	harness.finish(keyNumber(1), attemptNumber(1), phaseUnknown, nil)
+	harness.now = harness.now.Add(policy.AnswerRetention + time.Second)
+	harness.overwriteAllSegments()
+	harness.recover(policy, 2)
+	harness.finish(keyNumber(1), attemptNumber(2), phaseRecorded, []byte("another's"))
+	harness.finish(keyNumber(1), attemptNumber(1), phaseRecorded, []byte("late"))
+	harness.write()
+	harness.recover(policy, 3)
+	if got := harness.begin(keyNumber(1), uuid.New(), ""); got.Verdict != Recorded || string(got.Answer.GetBody()) != "late" {
 		t.Errorf("a repeat got %+v", got)
 	}
 }
 
 // A malformed short record must be an error; ignoring it would lose a claim.
-func TestRecoverRefusesBrokenShortRecords(t *testing.T) {
+func TestDecodeMalformedShortRecord(t *testing.T) {
 	state := &claimv1.Record{Phase: phaseRecorded, Fingerprint: modelContent[:], Attempt: make([]byte, 16)}
 	good := encodeShortRecord(digest{}, state)
 	state.Phase = phaseUnknown
--- a/internal/claim/write.go
+++ b/internal/claim/write.go
@@ -20,16 +20,20 @@
 
 // write is one compare-and-swap on a shard's tail.
 type write struct {
-	id     uuid.UUID
-	key    string
-	expect int64
-	value  []byte
-
-	sequence     int64
-	sealed       bool
-	body         []byte
-	digests      []digest
+	id               uuid.UUID
+	key              string
+	expectedRevision int64
+	value            []byte
+
+	sequence int64
+	sealed   bool
+	// body contains all records of the segment.
+	body []byte
+	// digests are the claims whose records this write adds.
+	digests []digest
+	// opensSegment reports that the write overwrites the oldest segment with a new one.
 	opensSegment bool
+	// newestChange is the number of the newest change that is durable after the write.
 	newestChange int64
 }
 
@@ -45,7 +49,7 @@
 	}
 	position := r.position(next.sequence)
 	next.key = segmentKey(r.prefix, position)
-	next.expect = r.slots[position].revision
+	next.expectedRevision = r.slots[position].revision
 	r.takePending(&next)
 	next.sealed = r.compact || len(next.body) >= r.policy.SegmentBytes
 	header := &claimv1.Segment{
@@ -105,19 +109,19 @@
 }
 
 // reencode updates the encoding to the kept state, as a short record if shorten is true.
-func (h *indexEntry) reencode(id digest, state, kept *claimv1.Record, shorten bool) error {
-	if h.short {
+func (e *indexEntry) reencode(id digest, state, kept *claimv1.Record, shorten bool) error {
+	if e.short {
 		return nil
 	}
 	if shorten {
-		h.encoded, h.short = encodeShortRecord(id, kept), true
+		e.encoded, e.short = encodeShortRecord(id, kept), true
 		return nil
 	}
 	if kept == state {
 		return nil
 	}
 	encoded, err := proto.Marshal(kept)
-	h.encoded = encoded
+	e.encoded = encoded
 	return err
 }
 
@@ -151,32 +155,32 @@
 
 // append adds one record. The body is copied on first growth, so that the write does not
 // share memory with the ring.
-func (w *write) append(id digest, state indexEntry) {
+func (w *write) append(id digest, entry indexEntry) {
 	if len(w.digests) == 0 {
-		w.body = append(make([]byte, 0, len(w.body)+len(state.encoded)+128), w.body...)
+		w.body = append(make([]byte, 0, len(w.body)+len(entry.encoded)+128), w.body...)
 	}
 	field := protowire.Number(recordsField)
-	if state.short {
+	if entry.short {
 		field = shortRecordsField
 	}
 	w.body = protowire.AppendTag(w.body, field, protowire.BytesType)
-	w.body = protowire.AppendBytes(w.body, state.encoded)
+	w.body = protowire.AppendBytes(w.body, entry.encoded)
 	w.digests = append(w.digests, id)
 }
 
 // markWritten updates the ring after a write took effect at the given revision.
-func (r *ring) markWritten(done write, revision int64) {
-	segmentSlot := &r.slots[r.position(done.sequence)]
-	if done.opensSegment {
+func (r *ring) markWritten(written write, revision int64) {
+	segmentSlot := &r.slots[r.position(written.sequence)]
+	if written.opensSegment {
 		segmentSlot.digests = nil
 	}
-	segmentSlot.digests = append(segmentSlot.digests, done.digests...)
-	segmentSlot.sequence = done.sequence
+	segmentSlot.digests = append(segmentSlot.digests, written.digests...)
+	segmentSlot.sequence = written.sequence
 	segmentSlot.revision = revision
-	r.tail = done.sequence
-	r.sealed = done.sealed
-	r.body = done.body
-	r.durableChange = done.newestChange
+	r.tail = written.sequence
+	r.sealed = written.sealed
+	r.body = written.body
+	r.durableChange = written.newestChange
 	r.compact = false
 }
 
@@ -211,9 +215,9 @@
 
 // classify determines the effect from the result of the compare-and-swap. Sending the
 // same write again is safe, since its condition can hold at most once.
-func (w write) classify(answer platform.Entry, err error) (effect, int64) {
+func (w write) classify(swapped platform.Entry, err error) (effect, int64) {
 	if err == nil {
-		return effectApplied, answer.Revision
+		return effectApplied, swapped.Revision
 	}
 	if errors.Is(err, platform.ErrTooLarge) {
 		return effectSuperseded, 0
