--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -8,6 +8,7 @@
 
 // Gate admits or rejects the requests of one class at one pool.
 type Gate struct {
+	// infeasible counts the requests whose expected service time exceeded the remaining time.
 	infeasible uint64
 }
 
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -50,13 +50,13 @@
 		t.Errorf("slowness = %.1f, want about 10", got)
 	}
 	if got := p.Slowness(start.Add(10*slownessHalfLife), 0.025, 0, 0); got >= SuspectThreshold {
-		t.Errorf("slowness = %.1f long after, want below %.1f", got, SuspectThreshold)
+		t.Errorf("slowness = %.1f after ten half-lives, want below %.1f", got, SuspectThreshold)
 	}
-	var quick TokenLatency
+	var fast TokenLatency
 	for range 100 {
-		quick.Observe(start, 0.009)
+		fast.Observe(start, 0.009)
 	}
-	if got := quick.Slowness(start, 0.001, 1, 0); got >= SuspectThreshold {
+	if got := fast.Slowness(start, 0.001, 1, 0); got >= SuspectThreshold {
 		t.Errorf("slowness = %.1f of a replica at 9 ms a token, want below %.1f", got, SuspectThreshold)
 	}
 	var stalled TokenLatency
@@ -65,7 +65,7 @@
 		t.Errorf("slowness = %.1f of a stalled replica, want at least %.1f", got, SuspectThreshold)
 	}
 	if got := stalled.Slowness(start.Add(5*time.Second), 0.025, 0, time.Second); got >= SuspectThreshold {
-		t.Errorf("slowness = %.1f of an idle replica, want less than the suspect threshold", got)
+		t.Errorf("slowness = %.1f of an idle replica, want less than the straggler threshold", got)
 	}
 }
 
--- a/internal/balancer/expected_finish.go
+++ b/internal/balancer/expected_finish.go
@@ -10,8 +10,8 @@
 	// reportHalfLife is the age at which the weight of a load report is halved.
 	reportHalfLife = 2 * time.Second
 	// loadPenalty is the fraction by which a full replica slows down decoding.
-	loadPenalty   = 0.25
-	crossZoneCost = 3 * time.Millisecond
+	loadPenalty      = 0.25
+	crossZoneLatency = 3 * time.Millisecond
 )
 
 // ExpectedFinish chooses the replica with the earliest expected finish: the uncached part of
@@ -24,12 +24,12 @@
 // Choose implements Policy.
 func (p ExpectedFinish) Choose(estimate RequestEstimate, candidates []Candidate) int {
 	best := 0
-	least := math.Inf(1)
+	bestSeconds := math.Inf(1)
 	start := p.Rand.IntN(len(candidates))
 	for n := range candidates {
 		i := (start + n) % len(candidates)
-		if cost := finishSeconds(estimate, &candidates[i]); cost < least {
-			best, least = i, cost
+		if seconds := finishSeconds(estimate, &candidates[i]); seconds < bestSeconds {
+			best, bestSeconds = i, seconds
 		}
 	}
 	return best
@@ -40,13 +40,13 @@
 	seconds := estimate.Prefill.Seconds() * (1 - c.CachedFraction) * slowness
 	seconds += estimate.Decode.Seconds() * slowness * (1 + loadPenalty*load(c))
 	if !c.SameZone {
-		seconds += crossZoneCost.Seconds()
+		seconds += crossZoneLatency.Seconds()
 	}
 	return seconds
 }
 
-// load estimates how full the replica is: this node's own requests, plus the reported total
-// weighted by the age of the report.
+// load estimates how full the replica is: this node's own requests, plus the scaled logarithm
+// of the reported total, weighted by the age of the report.
 func load(c *Candidate) float64 {
 	own := float64(c.Running) / float64(max(c.Limit, 1))
 	if c.ReportAge < 0 || c.ReportedRunning == 0 {
--- a/internal/balancer/pace.go
+++ b/internal/balancer/pace.go
@@ -6,11 +6,12 @@
 )
 
 const (
+	// averageWeight is the weight of a new sample in the moving average.
 	averageWeight = 0.1
-	// SuspectThreshold is the slowness from which a replica is suspect.
+	// SuspectThreshold is the slowness from which a replica is a straggler.
 	SuspectThreshold = 2.5
 	// slownessHalfLife is the time without progress in which the excess slowness of an idle
-	// replica is halved, so that a suspect is tried again.
+	// replica is halved, so that a straggler is tried again.
 	slownessHalfLife = 30 * time.Second
 	// stallFactor typical token times without a token count as a slowness of 1.
 	stallFactor = 20
@@ -27,35 +28,35 @@
 }
 
 // Observe records a time between tokens, in seconds.
-func (p *TokenLatency) Observe(now time.Time, seconds float64) {
-	p.lastProgress = now
-	if p.average == 0 {
-		p.average = seconds
+func (t *TokenLatency) Observe(now time.Time, seconds float64) {
+	t.lastProgress = now
+	if t.average == 0 {
+		t.average = seconds
 		return
 	}
-	p.average += averageWeight * (seconds - p.average)
+	t.average += averageWeight * (seconds - t.average)
 }
 
-// RecordProgress records that a request was bound to an idle replica.
-func (p *TokenLatency) RecordProgress(now time.Time) { p.lastProgress = now }
+// RecordProgress records progress without a time between tokens: an idle replica got a request,
+// or an answer began.
+func (t *TokenLatency) RecordProgress(now time.Time) { t.lastProgress = now }
 
 // Average returns the moving average in seconds, or zero without samples.
-func (p *TokenLatency) Average() float64 { return p.average }
+func (t *TokenLatency) Average() float64 { return t.average }
 
 // Slowness returns the average relative to typical, which is in seconds. If requests are
-// running, time without progress beyond grace counts as well; otherwise slowness above 1
-// decays.
-func (p *TokenLatency) Slowness(now time.Time, typical float64, running int, grace time.Duration) float64 {
+// running, time without progress beyond grace raises it; otherwise slowness above 1 decays.
+func (t *TokenLatency) Slowness(now time.Time, typical float64, running int, grace time.Duration) float64 {
 	if typical <= 0 {
 		return 1
 	}
 	stallTime := max(stallFactor*typical, minStallTime)
 	typical = max(typical, minTypicalLatency)
 	slowness := 1.0
-	if p.average > 0 {
-		slowness = p.average / typical
+	if t.average > 0 {
+		slowness = t.average / typical
 	}
-	sinceProgress := now.Sub(p.lastProgress)
+	sinceProgress := now.Sub(t.lastProgress)
 	if running > 0 {
 		stallSlowness := (sinceProgress - grace).Seconds() / stallTime
 		return max(slowness, stallSlowness)
--- a/internal/balancer/prefixes.go
+++ b/internal/balancer/prefixes.go
@@ -32,9 +32,9 @@
 		uses = append(uses, use)
 	}
 	slices.Sort(uses)
-	middle := uses[len(uses)/2]
+	median := uses[len(uses)/2]
 	for hash, use := range p.lastUse {
-		if use < middle {
+		if use < median {
 			delete(p.lastUse, hash)
 		}
 	}
@@ -47,7 +47,8 @@
 	}
 }
 
-// Match returns the fraction of the prefixes, from 0 to 1, up to the longest one recorded.
+// Match returns the fraction, from 0 to 1, of a prompt's prefixes that the longest recorded one
+// covers. hashes are ordered from the shortest prefix to the longest.
 func (p *PrefixHistory) Match(hashes []uint64) float64 {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if _, ok := p.lastUse[hashes[i]]; ok {
--- a/internal/balancer/two_choices.go
+++ b/internal/balancer/two_choices.go
@@ -3,7 +3,7 @@
 import "math/rand/v2"
 
 // TwoChoices chooses the less loaded of two random replicas, by this node's requests in
-// flight. It is the baseline.
+// flight. It is the baseline for ExpectedFinish.
 type TwoChoices struct {
 	Rand *rand.Rand
 }
--- a/internal/circuit/breaker.go
+++ b/internal/circuit/breaker.go
@@ -9,7 +9,8 @@
 const (
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = 5 * time.Second
-	// jitter is the random part; it keeps nodes from probing at the same time.
+	// jitter is the largest fraction by which a backoff is randomly shortened, so that nodes do
+	// not probe at the same time.
 	jitter = 0.5
 )
 
--- a/internal/circuit/breaker_test.go
+++ b/internal/circuit/breaker_test.go
@@ -15,7 +15,7 @@
 	}
 	b.RecordFailure(now, random)
 	if b.Allows(now) {
-		t.Fatal("open circuit lets a request through")
+		t.Fatal("an open circuit allows a request")
 	}
 	now = b.NextProbeAt()
 	if !b.Allows(now) {
@@ -23,7 +23,7 @@
 	}
 	b.RecordDispatch()
 	if b.Allows(now) {
-		t.Fatal("two probes at a time")
+		t.Fatal("the circuit allows a second probe while one is in flight")
 	}
 	b.RecordSuccess()
 	if !b.Allows(now) {
--- a/internal/concurrency/limit.go
+++ b/internal/concurrency/limit.go
@@ -6,7 +6,7 @@
 	// sampleWindow is the minimum time between two adjustments.
 	sampleWindow = time.Second
 	minSamples   = 8
-	// tolerance is the ratio of average to reference above which the limit shrinks.
+	// tolerance is the ratio of the average to the idle token time above which the limit shrinks.
 	tolerance = 1.2
 	// minGradient is the smallest factor of one adjustment.
 	minGradient = 0.8
@@ -16,9 +16,9 @@
 	// growthStep is in slots per window. Additive increase and multiplicative decrease make
 	// the limits of several nodes at one replica converge.
 	growthStep = 0.1
-	// urgentGrowthStep applies while requests of the highest tier wait, so that nodes with
+	// highestTierGrowthStep applies while requests of the highest tier wait, so that nodes with
 	// more of them get more of the replica.
-	urgentGrowthStep = 0.3
+	highestTierGrowthStep = 0.3
 	// recoveryFactor is the growth factor per window while the limit recovers from
 	// ShrinkToOne.
 	recoveryFactor = 1.2
@@ -26,41 +26,42 @@
 
 // Limit is the adaptive concurrency limit of one replica.
 type Limit struct {
-	limit    float64
-	maxLimit float64
-	offset   float64
+	limit          float64
+	maxLimit       float64
+	roundingOffset float64
 	// recoverTo is the limit before ShrinkToOne, or zero.
 	recoverTo   float64
 	windowStart time.Time
 	sum         float64
 	samples     int
 	// saturated is set if the limit was reached in the window.
-	saturated bool
-	urgent    bool
+	saturated        bool
+	highestTierWaits bool
 }
 
-// NewLimit returns a limit that starts at slots, its maximum. offset, in [0, 1), is added
-// before the fractional limit is rounded down, so that limits with different offsets add up to
-// about the sum of the fractions.
-func NewLimit(slots int, offset float64) *Limit {
-	return &Limit{limit: float64(slots), maxLimit: float64(slots), offset: offset}
+// NewLimit returns a limit that starts at slots, its maximum. roundingOffset, in [0, 1), is
+// added before the fractional limit is rounded down. It should differ between nodes, so that not
+// all of them round the limit of the same replica down.
+func NewLimit(slots int, roundingOffset float64) *Limit {
+	return &Limit{limit: float64(slots), maxLimit: float64(slots), roundingOffset: roundingOffset}
 }
 
 // Value returns the limit; it is at least 1.
-func (l *Limit) Value() int { return int(l.limit + l.offset) }
+func (l *Limit) Value() int { return int(l.limit + l.roundingOffset) }
 
 // RecordUsage records how many requests are running and whether requests of the highest tier
 // are waiting.
-func (l *Limit) RecordUsage(running int, urgent bool) {
+func (l *Limit) RecordUsage(running int, highestTierWaits bool) {
 	if running >= l.Value() {
 		l.saturated = true
 	}
-	l.urgent = l.urgent || urgent
+	l.highestTierWaits = l.highestTierWaits || highestTierWaits
 }
 
-// Observe records a time between tokens, in seconds; reference is that of an idle replica of
-// this upstream. It returns the average when a window ends, otherwise zero.
-func (l *Limit) Observe(now time.Time, seconds, reference float64) float64 {
+// Observe records a time between tokens, in seconds; idleTokenTime is that of an idle replica
+// of this upstream, or zero if unknown. When a window ends, it adjusts the limit and returns the
+// window's average; otherwise it returns zero.
+func (l *Limit) Observe(now time.Time, seconds, idleTokenTime float64) float64 {
 	if l.windowStart.IsZero() {
 		l.windowStart = now
 	}
@@ -70,18 +71,18 @@
 		return 0
 	}
 	average := l.sum / float64(l.samples)
-	l.adjust(average, reference)
-	l.windowStart, l.sum, l.samples, l.saturated, l.urgent = now, 0, 0, false, false
+	l.adjust(average, idleTokenTime)
+	l.windowStart, l.sum, l.samples, l.saturated, l.highestTierWaits = now, 0, 0, false, false
 	return average
 }
 
-func (l *Limit) adjust(average, reference float64) {
-	if reference <= 0 {
+func (l *Limit) adjust(average, idleTokenTime float64) {
+	if idleTokenTime <= 0 {
 		return
 	}
 	gradient := 1.0
 	if average > minShrinkLatency {
-		gradient = min(max(tolerance*reference/average, minGradient), 1)
+		gradient = min(max(tolerance*idleTokenTime/average, minGradient), 1)
 	}
 	next := l.limit * gradient
 	if gradient < 1 {
@@ -97,8 +98,8 @@
 	if l.limit < l.recoverTo {
 		return (recoveryFactor - 1) * l.limit
 	}
-	if l.urgent {
-		return urgentGrowthStep
+	if l.highestTierWaits {
+		return highestTierGrowthStep
 	}
 	return growthStep
 }
--- a/internal/concurrency/limit_test.go
+++ b/internal/concurrency/limit_test.go
@@ -19,7 +19,7 @@
 	return now
 }
 
-func TestLimitGrowsBelowAndShrinksAboveTheKnee(t *testing.T) {
+func TestLimitGrowsAtLowAndShrinksAtHighLatency(t *testing.T) {
 	l := NewLimit(8, 0)
 	now := observeWindows(l, start, 50, 0.050)
 	if got := l.Value(); got != 1 {
@@ -35,7 +35,7 @@
 	l := NewLimit(4, 0.99)
 	now := observeWindows(l, start, 1000, 0.020)
 	if got := l.Value(); got != 4 {
-		t.Errorf("limit = %d, want the bound 4", got)
+		t.Errorf("limit = %d, want the maximum 4", got)
 	}
 	l = NewLimit(4, 0)
 	now = observeWindows(l, now, 50, 0.100)
@@ -52,7 +52,7 @@
 	l := NewLimit(16, 0)
 	l.ShrinkToOne()
 	if got := l.Value(); got != 1 {
-		t.Fatalf("limit = %d after Shrink, want 1", got)
+		t.Fatalf("limit = %d after ShrinkToOne, want 1", got)
 	}
 	observeWindows(l, start, 20, 0.020)
 	if got := l.Value(); got < 16 {
@@ -80,6 +80,6 @@
 	f.Observe(start.Add(floorPeriod), 0.030)
 	f.Observe(start.Add(2*floorPeriod), 0.030)
 	if got := f.Value(); got != 0.030 {
-		t.Errorf("floor = %v after two generations, want 0.030", got)
+		t.Errorf("floor = %v after two periods, want 0.030", got)
 	}
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -101,8 +101,7 @@
 	return weights
 }
 
-// Acquire waits for a slot on a replica of the upstream. The error is a
-// *refusal.Error.
+// Acquire waits for a slot on a replica of the upstream. The error is a *refusal.Error.
 func (d *Dispatcher) Acquire(ctx context.Context, upstream string, request router.Request) (*Slot, error) {
 	s := d.shard(upstream)
 	if s == nil {
@@ -111,22 +110,23 @@
 	return s.acquire(ctx, request)
 }
 
-// SetLeaving sets whether a replica is leaving.
+// SetLeaving records whether a replica has announced that it is leaving, independently of the
+// configuration.
 func (d *Dispatcher) SetLeaving(upstream, replica string, leaving bool) {
 	if s := d.shard(upstream); s != nil {
 		s.update(func(now time.Time) { s.pool.SetLeaving(now, replica, leaving) })
 	}
 }
 
-// RecordLoad records a replica's load report.
+// RecordLoad stores a replica's load report unless a newer one is known.
 func (d *Dispatcher) RecordLoad(upstream, replica string, load router.LoadReport) {
 	if s := d.shard(upstream); s != nil {
 		s.update(func(now time.Time) { s.pool.RecordLoad(now, replica, load) })
 	}
 }
 
-// SetAllowance bounds how many slots of a replica this node may use; -1 means no bound below
-// the replica's limit.
+// SetAllowance sets how many slots of a replica this node may use. If negative, only the node's
+// own limit for the replica applies.
 func (d *Dispatcher) SetAllowance(upstream, replica string, slots int) {
 	if s := d.shard(upstream); s != nil {
 		s.update(func(time.Time) { s.pool.SetAllowance(replica, slots) })
--- a/internal/dispatch/shard.go
+++ b/internal/dispatch/shard.go
@@ -20,15 +20,16 @@
 
 func newShard(pool *router.Pool) *shard {
 	s := &shard{pool: pool, waiters: make(map[string]chan outcome)}
+	// Each update resets the timer to the pool's next deadline.
 	s.timer = time.AfterFunc(time.Hour, func() { s.update(func(time.Time) {}) })
 	return s
 }
 
-// withPool runs change under the lock, without making new decisions.
-func (s *shard) withPool(change func(now time.Time)) {
+// withPool runs f under the lock, without making new decisions.
+func (s *shard) withPool(f func(now time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change(time.Now())
+	f(time.Now())
 }
 
 // update runs change under the lock and delivers the decisions that follow.
@@ -43,12 +44,12 @@
 // deliver wakes the requests that the pool has decided on. s.mu must be held.
 func (s *shard) deliver(now time.Time) {
 	for _, decision := range s.pool.Decide(now) {
-		wake, ok := s.waiters[decision.ID]
+		waiter, ok := s.waiters[decision.ID]
 		if !ok {
 			continue
 		}
 		delete(s.waiters, decision.ID)
-		wake <- outcomeOf(decision)
+		waiter <- outcomeOf(decision)
 	}
 	s.resetTimer(now)
 }
@@ -72,27 +73,27 @@
 
 // submit adds the request to the pool. The channel receives its outcome.
 func (s *shard) submit(request router.Request) (<-chan outcome, *refusal.Error) {
-	wake := make(chan outcome, 1)
+	waiter := make(chan outcome, 1)
 	var refused *refusal.Error
 	s.update(func(now time.Time) {
 		refused = s.pool.Submit(now, request)
 		if refused == nil {
-			s.waiters[request.ID] = wake
+			s.waiters[request.ID] = waiter
 		}
 	})
-	return wake, refused
+	return waiter, refused
 }
 
 func (s *shard) acquire(ctx context.Context, request router.Request) (*Slot, error) {
-	wake, refused := s.submit(request)
+	waiter, refused := s.submit(request)
 	if refused != nil {
 		return nil, refused
 	}
 	select {
-	case o := <-wake:
+	case o := <-waiter:
 		return s.newSlot(request.ID, o)
 	case <-ctx.Done():
-		return nil, s.cancel(ctx, request.ID, wake)
+		return nil, s.cancel(ctx, request.ID, waiter)
 	}
 }
 
@@ -104,20 +105,21 @@
 }
 
 // cancel withdraws a request, releasing its slot if it was bound in the meantime.
-func (s *shard) cancel(ctx context.Context, id string, wake <-chan outcome) error {
+func (s *shard) cancel(ctx context.Context, id string, waiter <-chan outcome) error {
 	s.update(func(now time.Time) {
-		if _, waits := s.waiters[id]; waits {
+		if _, waiting := s.waiters[id]; waiting {
 			delete(s.waiters, id)
 			s.pool.Cancel(now, id)
 			return
 		}
-		if o := <-wake; o.refused == nil {
+		if o := <-waiter; o.refused == nil {
 			s.pool.Finish(now, id, router.ResultNotRun)
 		}
 	})
 	return waitRefusal(ctx)
 }
 
+// waitRefusal returns the refusal of a request whose context ended while it was queued.
 func waitRefusal(ctx context.Context) *refusal.Error {
 	refused := refusal.New(refusal.CallerGone, "queue", "the caller disconnected while the request was queued")
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -11,18 +11,18 @@
 // Finish do nothing.
 type Slot struct {
 	Replica router.Replica
-	// Choice is why the replica was chosen.
+	// Choice describes the replica at the time it was chosen.
 	Choice router.Choice
 
 	id       string
 	shard    *shard
 	finished sync.Once
-	// pendingTokens are not yet recorded in the pool; flushedAt is the last flush.
+	// pendingTokens are not yet recorded in the pool; flushedAt is the time of the last flush.
 	pendingTokens int
 	flushedAt     time.Time
 }
 
-// tokenFlushInterval must be far below the stall time that makes a replica suspect.
+// tokenFlushInterval must be far below the stall time that makes a replica a straggler.
 const tokenFlushInterval = 100 * time.Millisecond
 
 // RecordFirstToken records the first token of the answer.
--- a/internal/dispatch/weights_test.go
+++ b/internal/dispatch/weights_test.go
@@ -13,6 +13,6 @@
 	}}
 	want := map[string]float64{"light": 0.5, "heavy": 3}
 	if got := weightsOf(document); !maps.Equal(got, want) {
-		t.Errorf("weights %v, want %v", got, want)
+		t.Errorf("weightsOf = %v, want %v", got, want)
 	}
 }
--- a/internal/retry/attempt.go
+++ b/internal/retry/attempt.go
@@ -25,10 +25,12 @@
 	MinDuration time.Duration
 }
 
+// mayHaveRun reports whether this or an earlier attempt may have run.
 func (a Attempt) mayHaveRun() bool {
 	return a.Result != NotRun || a.NotRunBefore < a.Number-1
 }
 
+// possibleRuns returns the number of attempts so far that may have run.
 func (a Attempt) possibleRuns() int {
 	if a.Result == NotRun {
 		return a.Number - a.NotRunBefore - 1
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -8,7 +8,7 @@
 
 const (
 	budgetShards = 16
-	// maxKeysPerShard bounds memory; further keys share one window.
+	// maxKeysPerShard bounds memory. Further keys of a budget shard share one window.
 	maxKeysPerShard = 256
 	// minAddedAttempts per window are allowed regardless of successes, so that a low-traffic
 	// site can retry the requests lost with one replica.
@@ -23,7 +23,7 @@
 	upstream string
 }
 
-// overflowKey is shared by all keys beyond maxKeysPerShard.
+// overflowKey is the key of the window shared by the keys of a shard beyond maxKeysPerShard.
 var overflowKey = budgetKey{}
 
 // budget limits a key's added attempts to a fraction of its recent successes.
@@ -70,6 +70,8 @@
 	s.window(key).bucketAt(now).successes++
 }
 
+// tryTake records an added attempt and returns true if the budget allows it. notRun is set if
+// the failed attempt is known not to have run.
 func (b *budget) tryTake(now time.Time, key budgetKey, ratio float64, notRun bool) bool {
 	s := b.shard(key)
 	s.mu.Lock()
@@ -80,7 +82,8 @@
 		w.bucketAt(now).uncharged++
 		return true
 	}
-	// Both kinds of added attempts together stay within ratio under load.
+	// Uncharged attempts reduce the budget, so that under load the sum of charged and uncharged
+	// attempts stays within ratio.
 	allowed := max(0, ratio*float64(total.successes)-float64(total.uncharged))
 	if float64(total.charged) >= max(minAddedAttempts, allowed) {
 		return false
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -35,33 +35,33 @@
 }
 
 // HedgeDelay returns how long to wait for the first token before calling ShouldHedge, or false
-// if no hedge is allowed.
+// if the request must not be hedged, the samples are too few, or too little time is left.
 func (p *Policy) HedgeDelay(h HedgeCandidate) (time.Duration, bool) {
 	if !h.Allowed || !h.Repeatable || h.Tier != hedgeTier || h.Attempts != 1 {
 		return 0, false
 	}
-	after, known := p.latencies.quantile(budgetKey{h.Class, h.Upstream}, hedgeQuantile)
-	if !known || after >= h.Remaining+h.Waited {
+	delay, known := p.latencies.quantile(budgetKey{h.Class, h.Upstream}, hedgeQuantile)
+	if !known || delay >= h.Remaining+h.Waited {
 		return 0, false
 	}
-	return after, true
+	return delay, true
 }
 
 // FirstTokenTimeout returns how long an attempt may take to its first token, or zero if there
 // are too few samples.
 func (p *Policy) FirstTokenTimeout(class, upstream string) time.Duration {
-	late, known := p.latencies.quantile(budgetKey{class, upstream}, hedgeQuantile)
+	firstTokenTime, known := p.latencies.quantile(budgetKey{class, upstream}, hedgeQuantile)
 	if !known {
 		return 0
 	}
-	return max(firstTokenTimeoutFactor*late, minFirstTokenTimeout)
+	return max(firstTokenTimeoutFactor*firstTokenTime, minFirstTokenTimeout)
 }
 
 // ShouldHedge reports whether to start a second attempt now. If so, it charges the hedge to
 // the retry budget.
 func (p *Policy) ShouldHedge(now time.Time, h HedgeCandidate) bool {
-	after, allowed := p.HedgeDelay(h)
-	if !allowed || h.Waited < after {
+	delay, allowed := p.HedgeDelay(h)
+	if !allowed || h.Waited < delay {
 		return false
 	}
 	ratio := p.limits.Load().RetryBudget
--- a/internal/retry/hedge_test.go
+++ b/internal/retry/hedge_test.go
@@ -29,7 +29,7 @@
 		{"unrepeatable", change(func(h *HedgeCandidate) { h.Repeatable = false }), false},
 		{"second attempt already", change(func(h *HedgeCandidate) { h.Attempts = 2 }), false},
 		{"no samples", change(func(h *HedgeCandidate) { h.Class = "other" }), false},
-		{"of no use", change(func(h *HedgeCandidate) { h.Waited, h.Remaining = 40*time.Millisecond, 50*time.Millisecond }), false},
+		{"too little time left", change(func(h *HedgeCandidate) { h.Waited, h.Remaining = 40*time.Millisecond, 50*time.Millisecond }), false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 				policy.ObserveFirstToken(start, "quick", "llm", time.Duration(i+1)*time.Millisecond)
 			}
 			if got := policy.ShouldHedge(start, test.hedge); got != test.want {
-				t.Fatalf("got %v, want %v", got, test.want)
+				t.Fatalf("ShouldHedge = %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -86,14 +86,14 @@
 func TestOldLatenciesExpire(t *testing.T) {
 	policy := NewPolicy(config.Limits{})
 	hedge := HedgeCandidate{Class: "quick", Upstream: "llm", Allowed: true, Repeatable: true, Remaining: time.Hour, Attempts: 1}
-	for generation, latency := range []time.Duration{time.Second, 10 * time.Second} {
-		now := start.Add(time.Duration(generation) * sketchLifetime)
+	for round, latency := range []time.Duration{time.Second, 10 * time.Second} {
+		now := start.Add(time.Duration(round) * sketchLifetime)
 		for range minSamples {
 			policy.ObserveFirstToken(now, "quick", "llm", latency)
 		}
-		after, ok := policy.HedgeDelay(hedge)
-		if !ok || after < latency*9/10 || after > latency*11/10 {
-			t.Fatalf("hedge after %v, %v; want about %v", after, ok, latency)
+		delay, ok := policy.HedgeDelay(hedge)
+		if !ok || delay < latency*9/10 || delay > latency*11/10 {
+			t.Fatalf("HedgeDelay = %v, %v; want about %v", delay, ok, latency)
 		}
 	}
 }
--- a/internal/retry/latencies.go
+++ b/internal/retry/latencies.go
@@ -62,19 +62,19 @@
 	s := l.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g, ok := s.sketches[key]
+	pair, ok := s.sketches[key]
 	if !ok && len(s.sketches) >= maxKeysPerShard {
 		return
 	}
 	if !ok {
-		g = &sketchPair{startedAt: now, current: newSketch(), previous: newSketch()}
-		s.sketches[key] = g
+		pair = &sketchPair{startedAt: now, current: newSketch(), previous: newSketch()}
+		s.sketches[key] = pair
 	}
-	if now.Sub(g.startedAt) >= sketchLifetime {
-		g.startedAt, g.current, g.previous = now, newSketch(), g.current
+	if now.Sub(pair.startedAt) >= sketchLifetime {
+		pair.startedAt, pair.current, pair.previous = now, newSketch(), pair.current
 	}
 	// Add does not fail for non-negative durations.
-	_ = g.current.Add(max(d, 0).Seconds())
+	_ = pair.current.Add(max(d, 0).Seconds())
 }
 
 // quantile returns the key's quantile q, or false if there are too few samples.
@@ -82,13 +82,13 @@
 	s := l.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g, ok := s.sketches[key]
+	pair, ok := s.sketches[key]
 	if !ok {
 		return 0, false
 	}
-	sketch := g.current
+	sketch := pair.current
 	if sketch.GetCount() < minSamples {
-		sketch = g.previous
+		sketch = pair.previous
 	}
 	if sketch.GetCount() < minSamples {
 		return 0, false
--- a/internal/retry/metrics.go
+++ b/internal/retry/metrics.go
@@ -13,7 +13,7 @@
 }
 
 // NewMetrics registers the counters; it panics if they are already registered.
-func NewMetrics(register prometheus.Registerer) *Metrics {
+func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		added: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "trestle_retries_total",
@@ -24,11 +24,12 @@
 			Help: "Requests given up after a failed attempt, by refusal reason and outcome.",
 		}, []string{"reason", "outcome"}),
 	}
-	register.MustRegister(m.added, m.givenUp)
+	registerer.MustRegister(m.added, m.givenUp)
 	m.initialize()
 	return m
 }
 
+// initialize creates time series before their first event, so that they start at zero.
 func (m *Metrics) initialize() {
 	for _, reason := range Reasons() {
 		m.added.WithLabelValues(string(Retry), string(reason))
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -49,7 +49,7 @@
 }
 
 // Decide returns what to do after a failed attempt. An added attempt is charged to the retry
-// budget.
+// budget unless notRunAllowance covers it.
 func (p *Policy) Decide(now time.Time, a Attempt) Decision {
 	limits := p.limits.Load()
 	if refused := refuse(a, limits.MaxAttempts); refused != nil {
@@ -66,8 +66,8 @@
 	return Decision{Action: Retry, Reason: reasonOf(a)}
 }
 
-// refuse returns why the request must not be retried, or nil. That an unrepeatable call may
-// have run takes precedence over the other reasons.
+// refuse returns why the request must not be retried, or nil. Unrepeatable calls that may
+// have run are checked first, because callers must learn that the outcome is unknown.
 func refuse(a Attempt, maxAttempts int) *refusal.Error {
 	switch {
 	case !a.Repeatable && a.mayHaveRun():
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -68,14 +68,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			got := NewPolicy(config.Limits{}).Decide(start, test.attempt)
 			if got.Action != test.action || got.Reason != test.reason {
-				t.Fatalf("got %+v", got)
+				t.Fatalf("wrong action or reason in decision %+v", got)
 			}
 			if test.action != GiveUp {
 				return
 			}
 			refused := got.Refusal
 			if refused.Reason != test.refused || refused.Outcome != test.outcome || refused.Peer == "" || refused.Step == "" {
-				t.Fatalf("refusal %+v", refused)
+				t.Fatalf("wrong or missing field in refusal %+v", refused)
 			}
 		})
 	}
@@ -126,24 +126,24 @@
 		return n
 	}
 	if n := granted(start, Crashed, 100); n != minAddedAttempts {
-		t.Fatalf("%d granted without successes, want %d", n, minAddedAttempts)
+		t.Fatalf("%d attempts added without successes, want %d", n, minAddedAttempts)
 	}
 	if n := granted(start, NotRun, 100); n != notRunAllowance {
-		t.Fatalf("%d not run granted, want %d", n, notRunAllowance)
+		t.Fatalf("%d attempts added after attempts that did not run, want %d", n, notRunAllowance)
 	}
 	for range 200 {
 		policy.RecordSuccess(start, "quick", "llm")
 		policy.RecordSuccess(start, "slow", "llm")
 	}
 	if n := granted(start, NotRun, 100); n != 10 {
-		t.Fatalf("%d more granted after 200 successes at 0.2, want 10: 40 less %d and %d", n, notRunAllowance, minAddedAttempts)
+		t.Fatalf("%d more attempts added after 200 successes at ratio 0.2, want 10: 40 less %d and %d", n, notRunAllowance, minAddedAttempts)
 	}
 	if n := granted(start.Add(windowBuckets*bucketDuration), Crashed, 100); n != minAddedAttempts {
-		t.Fatalf("%d granted after the window, want %d", n, minAddedAttempts)
+		t.Fatalf("%d attempts added after the window, want %d", n, minAddedAttempts)
 	}
 	refused := policy.Decide(start.Add(windowBuckets*bucketDuration), firstFailure(Crashed)).Refusal
 	if refused == nil || refused.Reason != refusal.RetryBudgetSpent || refused.RetryAfter == 0 {
-		t.Fatalf("refusal %+v", refused)
+		t.Fatalf("refusal %+v, want an exhausted budget with RetryAfter", refused)
 	}
 }
 
@@ -157,7 +157,7 @@
 		windows := len(policy.budget.shards[i].windows)
 		sketches := len(policy.latencies.shards[i].sketches)
 		if windows > maxKeysPerShard+1 || sketches > maxKeysPerShard {
-			t.Fatalf("%d windows and %d sketches in a shard", windows, sketches)
+			t.Fatalf("%d windows and %d sketches in a shard exceed the bound", windows, sketches)
 		}
 	}
 }
--- a/internal/retry/result.go
+++ b/internal/retry/result.go
@@ -6,9 +6,10 @@
 const (
 	// NotRun means that the attempt is known not to have run.
 	NotRun Result = "not_run"
-	// Broken means that the answer ended early.
+	// Broken means that the answer ended early or was malformed, or that the upstream returned
+	// an error that a retry may avoid.
 	Broken Result = "broken"
-	// Crashed means that the connection was lost.
+	// Crashed means that the connection was lost after the request was sent.
 	Crashed Result = "crashed"
 	// TimedOut means that the attempt was canceled because the replica did not respond in
 	// time.
--- a/internal/retry/storm_test.go
+++ b/internal/retry/storm_test.go
@@ -149,15 +149,15 @@
 	const maxFraction = 0.10
 	for _, result := range []Result{NotRun, TimedOut} {
 		for _, ejects := range []bool{true, false} {
-			measured := newStormSimulation(result, ejects)
-			measured.run()
+			budgeted := newStormSimulation(result, ejects)
+			budgeted.run()
 			unbounded := newStormSimulation(result, ejects)
 			unbounded.decide = func(_ time.Time, a Attempt) bool { return a.Number < defaultMaxAttempts }
 			unbounded.run()
 			t.Logf("%s, ejects %v: added in 10 s %.3f, in 30 s %.3f; without a budget %.3f, %.3f",
-				result, ejects, measured.addedFraction(10), measured.addedFraction(30), unbounded.addedFraction(10), unbounded.addedFraction(30))
-			if measured.addedFraction(30) >= maxFraction || measured.addedFraction(10) >= maxFraction {
-				t.Errorf("%s, ejects %v: added %.3f in 10 s, %.3f in 30 s", result, ejects, measured.addedFraction(10), measured.addedFraction(30))
+				result, ejects, budgeted.addedFraction(10), budgeted.addedFraction(30), unbounded.addedFraction(10), unbounded.addedFraction(30))
+			if budgeted.addedFraction(30) >= maxFraction || budgeted.addedFraction(10) >= maxFraction {
+				t.Errorf("%s, ejects %v: added %.3f in 10 s, %.3f in 30 s", result, ejects, budgeted.addedFraction(10), budgeted.addedFraction(30))
 			}
 			if !ejects && unbounded.addedFraction(30) < maxFraction {
 				t.Errorf("only %.3f added without a budget: the simulation does not exercise the budget", unbounded.addedFraction(30))
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -17,6 +17,7 @@
 	uncharged int32
 }
 
+// slidingWindow counts the events of the last windowBuckets buckets.
 type slidingWindow struct {
 	buckets [windowBuckets]bucket
 }
@@ -24,23 +25,23 @@
 // bucketAt returns the bucket of now, reset if its counts are older.
 func (w *slidingWindow) bucketAt(now time.Time) *bucket {
 	index := now.UnixNano() / int64(bucketDuration)
-	c := &w.buckets[index%windowBuckets]
-	if c.index < index {
-		*c = bucket{index: index}
+	b := &w.buckets[index%windowBuckets]
+	if b.index < index {
+		*b = bucket{index: index}
 	}
-	return c
+	return b
 }
 
 func (w *slidingWindow) sum(now time.Time) bucket {
 	var total bucket
 	newest := now.UnixNano() / int64(bucketDuration)
-	for _, c := range w.buckets {
-		if c.index <= newest-windowBuckets || c.index > newest {
+	for _, b := range w.buckets {
+		if b.index <= newest-windowBuckets || b.index > newest {
 			continue
 		}
-		total.successes += c.successes
-		total.charged += c.charged
-		total.uncharged += c.uncharged
+		total.successes += b.successes
+		total.charged += b.charged
+		total.uncharged += b.uncharged
 	}
 	return total
 }
--- a/internal/scheduler/band.go
+++ b/internal/scheduler/band.go
@@ -3,7 +3,7 @@
 import "container/heap"
 
 // fairQueue implements start-time fair queueing across the workspaces of one class, with costs
-// in expected tokens. A workspace's item with the smallest key is first.
+// in expected tokens. The items of one workspace are served in order of key.
 type fairQueue[T any] struct {
 	state  itemState
 	flows  map[string]*flow[T]
@@ -20,73 +20,76 @@
 	return &fairQueue[T]{state: state, flows: make(map[string]*flow[T])}
 }
 
-func (b *fairQueue[T]) push(item *Item[T], key int64) {
-	f := b.flow(item.Workspace)
+func (q *fairQueue[T]) push(item *Item[T], key int64) {
+	f := q.flow(item.Workspace)
 	if f.queued == 0 {
-		f.startTag = max(f.startTag, b.clock.virtualTime)
-		heap.Push(&b.active, f)
+		f.startTag = max(f.startTag, q.clock.virtualTime)
+		heap.Push(&q.active, f)
 	}
-	item.state = b.state
+	item.state = q.state
 	f.queued++
-	b.queued++
+	q.queued++
 	f.items.add(item, key, f.queued)
 }
 
 // flow returns or creates the workspace's flow. Idle flows are kept while their start tag is
-// ahead, so that a workspace gains nothing by leaving and returning.
-func (b *fairQueue[T]) flow(workspace string) *flow[T] {
-	if f, ok := b.flows[workspace]; ok {
+// ahead of the virtual time, so that a workspace gains nothing by leaving and returning.
+func (q *fairQueue[T]) flow(workspace string) *flow[T] {
+	if f, ok := q.flows[workspace]; ok {
 		return f
 	}
-	if len(b.flows) > compactThreshold && len(b.flows) > 2*len(b.active) {
-		b.prune()
+	if len(q.flows) > compactThreshold && len(q.flows) > 2*len(q.active) {
+		q.prune()
 	}
 	f := &flow[T]{workspace: workspace, index: -1}
-	b.flows[workspace] = f
+	q.flows[workspace] = f
 	return f
 }
 
-func (b *fairQueue[T]) prune() {
-	for name, f := range b.flows {
-		if f.queued == 0 && (f.startTag <= b.clock.virtualTime || len(b.flows) > maxIdleFlows) {
-			delete(b.flows, name)
+func (q *fairQueue[T]) prune() {
+	for name, f := range q.flows {
+		if f.queued == 0 && (f.startTag <= q.clock.virtualTime || len(q.flows) > maxIdleFlows) {
+			delete(q.flows, name)
 		}
 	}
 }
 
-// maxIdleFlows bounds the idle flows kept only for their start tags.
+// maxIdleFlows is the number of flows above which idle ones are deleted even if their start tag
+// is ahead of the virtual time.
 const maxIdleFlows = 4096
 
-func (b *fairQueue[T]) first() *Item[T] {
-	if len(b.active) == 0 {
+func (q *fairQueue[T]) first() *Item[T] {
+	if len(q.active) == 0 {
 		return nil
 	}
-	return b.active[0].items.first()
+	return q.active[0].items.first()
 }
 
-func (b *fairQueue[T]) charge(item *Item[T], weight float64) {
-	f := b.flows[item.Workspace]
-	b.clock.virtualTime = max(b.clock.virtualTime, f.startTag)
+// charge advances the virtual time to the start tag of item's flow, and then the tag by the
+// item's cost divided by weight.
+func (q *fairQueue[T]) charge(item *Item[T], weight float64) {
+	f := q.flows[item.Workspace]
+	q.clock.virtualTime = max(q.clock.virtualTime, f.startTag)
 	item.charge = item.Cost / weight
-	b.advanceTag(f, item.charge)
+	q.advanceTag(f, item.charge)
 }
 
-func (b *fairQueue[T]) advanceTag(f *flow[T], by float64) {
-	f.startTag += by
+func (q *fairQueue[T]) advanceTag(f *flow[T], delta float64) {
+	f.startTag += delta
 	if f.index >= 0 {
-		heap.Fix(&b.active, f.index)
+		heap.Fix(&q.active, f.index)
 	}
 }
 
 // remove removes a queued item. Its heap entries become stale.
-func (b *fairQueue[T]) remove(item *Item[T]) {
-	f := b.flows[item.Workspace]
+func (q *fairQueue[T]) remove(item *Item[T]) {
+	f := q.flows[item.Workspace]
 	item.state = dequeued
 	f.queued--
-	b.queued--
+	q.queued--
 	if f.queued > 0 {
 		return
 	}
-	heap.Remove(&b.active, f.index)
+	heap.Remove(&q.active, f.index)
 	f.items.entries = nil
 }
--- a/internal/scheduler/class_queue.go
+++ b/internal/scheduler/class_queue.go
@@ -2,9 +2,11 @@
 
 import "time"
 
+// classQueue holds the queued items of one class.
 type classQueue[T any] struct {
 	Class
-	// late items are past their latest start; they run after the tier's on-time items.
+	// onTime and late hold the items before and after their latest start. Late items run after
+	// the on-time items of all classes in the tier.
 	onTime        *fairQueue[T]
 	late          *fairQueue[T]
 	byArrival     lazyHeap[T]
--- a/internal/scheduler/expire.go
+++ b/internal/scheduler/expire.go
@@ -42,8 +42,8 @@
 	return next
 }
 
-// Shed removes and returns an item of the lowest-priority tier if that is below tier, or
-// returns nil. Within a class the item that expires first is removed.
+// Shed removes and returns an item of the lowest-priority tier that has queued items and is below
+// the given tier, or returns nil. Within a class the item that expires first is removed.
 func (q *Queue[T]) Shed(tier int) *Item[T] {
 	for i := len(q.classes) - 1; i >= 0; i-- {
 		c := q.classes[i]
--- a/internal/scheduler/item.go
+++ b/internal/scheduler/item.go
@@ -7,7 +7,7 @@
 	// Workspace is charged for the item in fair queueing.
 	Workspace string
 	Arrived   time.Time
-	// LatestStart is the latest start expected to meet the target.
+	// LatestStart is the latest start expected to meet the request's latency target.
 	LatestStart time.Time
 	// ExpiresAt is when starting the item is no longer expected to be useful.
 	ExpiresAt time.Time
@@ -17,7 +17,7 @@
 
 	class    *classQueue[T]
 	sequence uint64
-	// charge is what Pop charged to the workspace's flow.
+	// charge is the cost divided by the workspace's weight, as charged by Pop.
 	charge     float64
 	state      itemState
 	byMinShare bool
@@ -34,5 +34,6 @@
 const (
 	dequeued itemState = iota
 	onTime
+	// late items are past their latest start.
 	late
 )
--- a/internal/scheduler/lazyheap.go
+++ b/internal/scheduler/lazyheap.go
@@ -2,13 +2,15 @@
 
 import "container/heap"
 
-// compactThreshold is the number of entries below which a heap is not compacted.
+// compactThreshold is the number of entries up to which a heap is not compacted, and of flows
+// up to which a fairQueue is not pruned.
 const compactThreshold = 64
 
 type entry[T any] struct {
 	key  int64
 	item *Item[T]
-	// state is the item's state when the entry was added; stale if it differs now.
+	// state is the item's state when the entry was added. The entry is stale if the item's
+	// state has changed since.
 	state    itemState
 	sequence uint64
 }
@@ -45,9 +47,10 @@
 	return item
 }
 
-// add adds item and compacts the heap if more than half of it is stale.
-func (h *lazyHeap[T]) add(item *Item[T], key int64, valid int) {
-	if len(h.entries) > compactThreshold && len(h.entries) > 2*valid {
+// add adds item and first compacts the heap if fewer than half of its entries are valid.
+// validCount is the number of valid entries including item.
+func (h *lazyHeap[T]) add(item *Item[T], key int64, validCount int) {
+	if len(h.entries) > compactThreshold && len(h.entries) > 2*validCount {
 		h.compact()
 	}
 	heap.Push(h, &entry[T]{key: key, item: item, state: item.state, sequence: item.sequence})
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -91,8 +91,8 @@
 	q.queued--
 }
 
-// Pop removes and returns the next item, or nil. slots is the pool's total number. Items whose
-// class is due its minimum share go first, without preemption.
+// Pop removes and returns the next item, or nil. slots is the pool's total number of slots. Items
+// whose class is due its minimum share go first; running items are not preempted.
 func (q *Queue[T]) Pop(now time.Time, slots int) *Item[T] {
 	next := q.first(now)
 	if next == nil {
@@ -110,8 +110,8 @@
 }
 
 // first returns the next item by tier, then on time before late, then slack. If the tier has
-// late items, start tags replace slack: by slack, the excess load of one workspace would delay
-// the others.
+// late items, start tags are compared instead of slack, so that the excess load of one workspace
+// does not delay the others.
 func (q *Queue[T]) first(now time.Time) *Item[T] {
 	var best *Item[T]
 	late := false
@@ -153,7 +153,8 @@
 	return nil
 }
 
-// Restore puts back a popped item that could not be started and refunds its cost.
+// Restore puts back a popped item that could not be started. It refunds the item's cost and
+// releases its minimum-share slot, if any.
 func (q *Queue[T]) Restore(now time.Time, item *Item[T]) {
 	if item.byMinShare {
 		item.class.share.running--
@@ -176,7 +177,7 @@
 	c.share.release(now, held, c.minShare()*float64(slots))
 }
 
-// HighestTier returns the highest-priority tier with a queued item, or -1.
+// HighestTier returns the highest-priority tier with a queued item, or -1 if there is none.
 func (q *Queue[T]) HighestTier() int {
 	for _, c := range q.classes {
 		if c.len() > 0 {
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -66,7 +66,7 @@
 		q.Push(start, "low", newItem("l", "w", 2*time.Minute))
 	}
 	if got := q.Pop(start.Add(9*time.Second), 4).Value; got != "h" {
-		t.Errorf("before the share is due: %s, want h", got)
+		t.Errorf("popped %s before the share is due, want h", got)
 	}
 	if got := popAll(q, start.Add(10*time.Second)); got != "llhhhll" {
 		t.Errorf("order = %s, want llhhhll", got)
@@ -154,7 +154,7 @@
 func TestMinLatestStart(t *testing.T) {
 	q := newTestQueue()
 	if got := q.MinLatestStart("high"); !got.IsZero() {
-		t.Errorf("of an empty class: %v, want none", got)
+		t.Errorf("MinLatestStart of an empty class = %v, want the zero time", got)
 	}
 	q.Push(start, "high", newItem("a", "w", time.Minute))
 	urgent := newItem("b", "w", 2*time.Second)
@@ -163,7 +163,7 @@
 	for _, now := range []time.Time{start, start.Add(3 * time.Second)} {
 		q.first(now)
 		if got := q.MinLatestStart("high"); !got.Equal(urgent.LatestStart) {
-			t.Errorf("at %v: %v, want %v", now.Sub(start), got, urgent.LatestStart)
+			t.Errorf("after %v: MinLatestStart = %v, want %v", now.Sub(start), got, urgent.LatestStart)
 		}
 	}
 }
--- a/internal/scheduler/share.go
+++ b/internal/scheduler/share.go
@@ -9,20 +9,23 @@
 	blockedUntil time.Time
 }
 
-// allows reports whether one more item may start under a share of slots.
-func (s *shareLimiter) allows(now time.Time, slots float64) bool {
-	if slots < 1 {
+// allows reports whether one more item may start under a share of shareSlots slots,
+// which may be fractional.
+func (s *shareLimiter) allows(now time.Time, shareSlots float64) bool {
+	if shareSlots < 1 {
 		return s.running == 0 && !now.Before(s.blockedUntil)
 	}
-	return s.running < int(slots)
+	return s.running < int(shareSlots)
 }
 
-func (s *shareLimiter) release(now time.Time, held time.Duration, slots float64) {
+// release frees a slot that was occupied for held. It then blocks a share of less than one
+// slot until its average use equals the share, but at most for maxPause.
+func (s *shareLimiter) release(now time.Time, held time.Duration, shareSlots float64) {
 	s.running--
-	if slots >= 1 || slots <= 0 {
+	if shareSlots >= 1 || shareSlots <= 0 {
 		return
 	}
-	pause := time.Duration(float64(held) * (1/slots - 1))
+	pause := time.Duration(float64(held) * (1/shareSlots - 1))
 	s.blockedUntil = now.Add(min(pause, maxPause))
 }
 
