--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -49,22 +49,22 @@
 	if got := p.Slowness(start, 0.025, 1, 0); got < 9 {
 		t.Errorf("slowness = %.1f, want about 10", got)
 	}
-	if got := p.Slowness(start.Add(10*slownessHalfLife), 0.025, 0, 0); got >= SuspectThreshold {
-		t.Errorf("slowness = %.1f after ten half-lives, want below %.1f", got, SuspectThreshold)
+	if got := p.Slowness(start.Add(10*slownessHalfLife), 0.025, 0, 0); got >= StragglerThreshold {
+		t.Errorf("slowness = %.1f after ten half-lives, want below %.1f", got, StragglerThreshold)
 	}
 	var fast TokenLatency
 	for range 100 {
 		fast.Observe(start, 0.009)
 	}
-	if got := fast.Slowness(start, 0.001, 1, 0); got >= SuspectThreshold {
-		t.Errorf("slowness = %.1f of a replica at 9 ms a token, want below %.1f", got, SuspectThreshold)
+	if got := fast.Slowness(start, 0.001, 1, 0); got >= StragglerThreshold {
+		t.Errorf("slowness = %.1f of a replica at 9 ms a token, want below %.1f", got, StragglerThreshold)
 	}
 	var stalled TokenLatency
 	stalled.RecordProgress(start)
-	if got := stalled.Slowness(start.Add(5*time.Second), 0.025, 1, time.Second); got < SuspectThreshold {
-		t.Errorf("slowness = %.1f of a stalled replica, want at least %.1f", got, SuspectThreshold)
+	if got := stalled.Slowness(start.Add(5*time.Second), 0.025, 1, time.Second); got < StragglerThreshold {
+		t.Errorf("slowness = %.1f of a stalled replica, want at least %.1f", got, StragglerThreshold)
 	}
-	if got := stalled.Slowness(start.Add(5*time.Second), 0.025, 0, time.Second); got >= SuspectThreshold {
+	if got := stalled.Slowness(start.Add(5*time.Second), 0.025, 0, time.Second); got >= StragglerThreshold {
 		t.Errorf("slowness = %.1f of an idle replica, want less than the straggler threshold", got)
 	}
 }
--- a/internal/balancer/pace.go
+++ b/internal/balancer/pace.go
@@ -8,8 +8,8 @@
 const (
 	// averageWeight is the weight of a new sample in the moving average.
 	averageWeight = 0.1
-	// SuspectThreshold is the slowness from which a replica is a straggler.
-	SuspectThreshold = 2.5
+	// StragglerThreshold is the slowness from which a replica is a straggler.
+	StragglerThreshold = 2.5
 	// slownessHalfLife is the time without progress in which the excess slowness of an idle
 	// replica is halved, so that a straggler is tried again.
 	slownessHalfLife = 30 * time.Second
--- a/internal/router/replica_state.go
+++ b/internal/router/replica_state.go
@@ -68,7 +68,7 @@
 	return r.acceptsNew() && r.circuit.Allows(now) && r.circuit.NextProbeAt().IsZero()
 }
 
-func (r *replicaState) isStraggler() bool { return r.slowness >= balancer.SuspectThreshold }
+func (r *replicaState) isStraggler() bool { return r.slowness >= balancer.StragglerThreshold }
 
 func (r *replicaState) removable() bool { return r.removed && r.running == 0 }
 
