--- a/internal/placement/choice.go
+++ b/internal/placement/choice.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Choice is the data that a replica was chosen by, for the log.
+// Choice describes, for the log, why a replica was chosen.
 type Choice struct {
-	// Cost is the expected cost in milliseconds, Candidates the number of available replicas.
-	Cost       float64
-	Candidates int
+	// Cost is the expected cost in milliseconds, including the random jitter.
+	Cost float64
+	// AvailableReplicas is the number of replicas that accept new requests, sampled or not.
+	AvailableReplicas int
 	// FirstTokenTime is the expected time to the first token. It includes OwnPrefill, the time to
 	// prefill this prompt, and SlotWait, the time until the replica has a free slot.
 	FirstTokenTime time.Duration
@@ -35,7 +36,7 @@
 func (u *upstream) newChoice(now time.Time, r *Request, d *decision) Choice {
 	s := d.state
 	c := Choice{
-		Cost: d.cost, Candidates: len(u.available),
+		Cost: d.cost, AvailableReplicas: len(u.available),
 		Running: s.running + s.peersRunning, PendingPrefill: s.pendingPrefill(), PrefillAhead: s.prefillAhead(r.Rank),
 		CachedTokens: d.cached, FailureScore: s.failureScoreAt(now),
 	}
