--- a/internal/leaving/set.go
+++ b/internal/leaving/set.go
@@ -23,8 +23,8 @@
 	Source  Source
 	Leaving bool
 	// Version orders the signals of one name and source; the highest wins. It is the
-	// time of the observation in Unix milliseconds, or the configuration revision for
-	// SourceOperator.
+	// configuration revision for SourceOperator, otherwise the time of the observation in
+	// Unix milliseconds, or one more than the previous version if that is higher.
 	Version int64
 	// Expires is when the signal ends unless renewed.
 	Expires time.Time
@@ -86,8 +86,9 @@
 // ForgetInstance drops a VM that is no longer in the platform's instance list.
 func (s *Set) ForgetInstance(name string) { delete(s.listedLeaving, name) }
 
-// RecordOperator records the state of a name in a configuration revision. Older revisions
-// than that of the current signal do not change it. It returns the signal to publish, if any.
+// RecordOperator records the state of a name in a configuration revision. A revision that
+// is not newer than that of the current signal does not change the state, but renews the
+// signal if the state is the same. It returns the signal to publish, if any.
 func (s *Set) RecordOperator(now time.Time, name string, leaving bool, revision int64) (Signal, bool) {
 	key := signalKey{name, SourceOperator}
 	old, ok := s.signals[key]
--- a/internal/leaving/set_test.go
+++ b/internal/leaving/set_test.go
@@ -11,9 +11,9 @@
 	const name = "tab-llm-3"
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	tests := []struct {
-		title string
-		do    func(s *Set)
-		want  bool
+		title  string
+		record func(s *Set)
+		want   bool
 	}{
 		{"no signals", func(*Set) {}, false},
 		{"engine is leaving", func(s *Set) { s.RecordEngine(start, start, name, true) }, true},
@@ -56,7 +56,7 @@
 	for _, test := range tests {
 		t.Run(test.title, func(t *testing.T) {
 			s := NewSet()
-			test.do(s)
+			test.record(s)
 			if got := s.Leaving(at(2*time.Second), name); got != test.want {
 				t.Errorf("leaving is %v, want %v", got, test.want)
 			}
@@ -66,14 +66,14 @@
 
 func TestRepeatedSignalsAreNotPublished(t *testing.T) {
 	s := NewSet()
-	messages := 0
+	published := 0
 	for i := range 3600 {
-		if _, news := s.RecordEngine(start.Add(time.Duration(i)*time.Second), start, "r", true); news {
-			messages++
+		if _, publish := s.RecordEngine(start.Add(time.Duration(i)*time.Second), start, "r", true); publish {
+			published++
 		}
 	}
-	if want := int(time.Hour / (SignalTTL / 2)); messages > want {
-		t.Errorf("%d signals published in an hour, want at most %d", messages, want)
+	if want := int(time.Hour / (SignalTTL / 2)); published > want {
+		t.Errorf("%d signals published in an hour, want at most %d", published, want)
 	}
 	if !s.Leaving(start.Add(time.Hour), "r") {
 		t.Error("the signal was not renewed")
--- a/internal/leaving/tracker.go
+++ b/internal/leaving/tracker.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// Values of a note.
+// Values of Note.Value, which is one byte.
 const (
 	valueServing byte = iota
 	valueLeaving
--- a/internal/leaving/tracker_test.go
+++ b/internal/leaving/tracker_test.go
@@ -18,14 +18,14 @@
 
 const (
 	nodes = 8
-	// propagationLimit is the guaranteed time from the first signal until all nodes stop sending
-	// new work.
+	// propagationLimit is the guaranteed time from the first signal until all nodes stop
+	// sending new work.
 	propagationLimit = 3 * time.Second
 )
 
 // TestSignalReachesAllNodes records a signal from each source on one of eight nodes.
 func TestSignalReachesAllNodes(t *testing.T) {
-	signs := map[string]func(t *Tracker, name string){
+	recorders := map[string]func(t *Tracker, name string){
 		"refusal or report": func(t *Tracker, name string) { t.RecordEngineLeaving(name) },
 		"operator":          func(t *Tracker, name string) { t.RecordOperator(name, true, 4) },
 		"instance list": func(t *Tracker, name string) {
@@ -35,9 +35,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		trackers, stop := startNodes(t)
 		defer stop()
-		for title, sign := range signs {
+		for title, record := range recorders {
 			name := "replica of " + title
-			sign(trackers[3], name)
+			record(trackers[3], name)
 			took := time.Duration(0)
 			for ; countLeaving(trackers, name) < nodes && took < propagationLimit; took += 100 * time.Millisecond {
 				time.Sleep(100 * time.Millisecond)
--- a/internal/nodesync/best.go
+++ b/internal/nodesync/best.go
@@ -10,14 +10,14 @@
 }
 
 // offer inserts the node if it is among the first limit nodes offered so far.
-func (b *topNodes) offer(n *Node) {
-	index := len(b.nodes)
-	for index > 0 && b.compare(n, &b.nodes[index-1]) < 0 {
+func (t *topNodes) offer(n *Node) {
+	index := len(t.nodes)
+	for index > 0 && t.compare(n, &t.nodes[index-1]) < 0 {
 		index--
 	}
-	if index >= b.limit {
+	if index >= t.limit {
 		return
 	}
-	b.nodes = slices.Insert(b.nodes, index, *n)
-	b.nodes = b.nodes[:min(len(b.nodes), b.limit)]
+	t.nodes = slices.Insert(t.nodes, index, *n)
+	t.nodes = t.nodes[:min(len(t.nodes), t.limit)]
 }
--- a/internal/nodesync/convert.go
+++ b/internal/nodesync/convert.go
@@ -18,8 +18,9 @@
 	}
 }
 
-// nodeFromProto computes LastSeen from the start of the call, so that the transmission
-// time never makes a node look more recently seen than it was.
+// nodeFromProto subtracts the age of LastSeen from callStart. For a response that is the
+// start of the call, so that the transmission time never makes a node look more recently
+// seen than it was; for a request it is the arrival.
 func nodeFromProto(n *nodesyncv1.Node, callStart boottime.Instant) Node {
 	return Node{
 		Name: n.GetName(), AvailabilityZone: n.GetAvailabilityZone(),
--- a/internal/nodesync/cursors.go
+++ b/internal/nodesync/cursors.go
@@ -10,7 +10,8 @@
 const cursorOverlap = roundInterval
 
 // placementCursors stores the time up to which placements were sent to each other node.
-// It is safe for concurrent use and bounded by MaxNodes.
+// It is safe for concurrent use. At MaxNodes entries it is cleared, which only causes
+// placements to be sent again.
 type placementCursors struct {
 	mu        sync.Mutex
 	sentUntil map[string]time.Time
--- a/internal/nodesync/doc.go
+++ b/internal/nodesync/doc.go
@@ -5,9 +5,11 @@
 //
 // Each node calls a few others several times a second: random ones in a small fleet,
 // mostly hubs in a large one (docs/design/node-sync.md). One call carries the state of
-// both sides. Messages contain ages instead of times, and the receiver subtracts an age
-// from the start of the call. State therefore never looks fresher than it is,
-// regardless of clock differences, delays and pauses.
+// both sides. Messages contain ages instead of times, except for the wall time of the fleet
+// clock. The caller subtracts the ages in a response from the start of its call, so that
+// the configuration and the listing never look fresher than they are, regardless of clock
+// differences, delays and pauses. The other node subtracts the ages in a request from its
+// arrival.
 //
 // The state has one entry per node and is bounded by MaxNodes. The exchange works
 // without the platform.
--- a/internal/nodesync/entries_test.go
+++ b/internal/nodesync/entries_test.go
@@ -8,7 +8,7 @@
 // TestEntryNodesAreInTheCallersZone guards against sending most callers to other zones.
 func TestEntryNodesAreInTheCallersZone(t *testing.T) {
 	nodes := fleetOf(240, 5)
-	taken := make(map[string]int)
+	countByZone := make(map[string]int)
 	for _, zone := range []string{"z0", "z1", "z2", "z3", "z4"} {
 		want := names(nodes[0].EntryNodes(zone))
 		if len(want) != EntryNodesPerZone {
@@ -20,14 +20,14 @@
 			}
 		}
 		for _, entry := range nodes[0].EntryNodes(zone) {
-			taken[entry.AvailabilityZone]++
+			countByZone[entry.AvailabilityZone]++
 			if entry.AvailabilityZone != zone {
 				t.Errorf("entry node of %s is in %s", zone, entry.AvailabilityZone)
 			}
 		}
 	}
-	if len(taken) != 5 {
-		t.Errorf("entry nodes by zone: %v, want five zones", taken)
+	if len(countByZone) != 5 {
+		t.Errorf("entry nodes by zone: %v, want five zones", countByZone)
 	}
 }
 
--- a/internal/nodesync/hub.go
+++ b/internal/nodesync/hub.go
@@ -14,15 +14,16 @@
 // In a small fleet nodes exchange loads directly. In a larger one that would take
 // hundreds of calls a second per node. There, each hub sums the loads of a group of nodes
 // in its availability zone, members fetch the fleet's sum from their hub, and hubs fetch
-// each other's group sums. Loads reach all nodes in two rounds. Each node computes the
+// each other's group sums. Loads reach all nodes in three rounds. Each node computes the
 // hubs from its own view of the fleet; while views differ, two nodes may aggregate a
 // group, which only makes the sums less accurate.
 
 const (
 	// minNodesForHubs is the fleet size from which on there are hubs.
 	minNodesForHubs = 16
-	// nodesPerHub determines the number of hubs. 32 members that call 5 times a second
-	// for responses of 10 kB take 1.6 MB a second.
+	// nodesPerHub determines the number of hubs: an availability zone of n nodes has
+	// n/nodesPerHub hubs, rounded up. 32 members that call 5 times a second for responses
+	// of 10 kB take 1.6 MB a second.
 	nodesPerHub = 32
 )
 
@@ -83,7 +84,7 @@
 // hubFor returns the hub that aggregates the node's loads; its name is empty if there is
 // none.
 func hubFor(n Node, hubs []Node) Node {
-	var own Node
+	var ownHub Node
 	var lowest uint64
 	for _, hub := range hubs {
 		if hub.Name == n.Name {
@@ -93,11 +94,11 @@
 			continue
 		}
 		// Rendezvous hashing spreads the nodes evenly over the hubs of their zone.
-		if rank := hashRank(n.Name + hub.Name); own.Name == "" || rank < lowest {
-			own, lowest = hub, rank
+		if rank := hashRank(n.Name + hub.Name); ownHub.Name == "" || rank < lowest {
+			ownHub, lowest = hub, rank
 		}
 	}
-	return own
+	return ownHub
 }
 
 // Role is a node's role in the exchange of state.
--- a/internal/nodesync/hub_loads_test.go
+++ b/internal/nodesync/hub_loads_test.go
@@ -36,9 +36,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer := response.Msg
-		if len(answer.GetLoads()) > 0 || len(answer.GetPlacements()) > 0 {
-			t.Errorf("member responds with loads %v and placements %v", answer.GetLoads(), answer.GetPlacements())
+		message := response.Msg
+		if len(message.GetLoads()) > 0 || len(message.GetPlacements()) > 0 {
+			t.Errorf("member responds with loads %v and placements %v", message.GetLoads(), message.GetPlacements())
 		}
 		if !other.options.Placer.HasFleetLoads(time.Now()) || other.options.Placer.HasFleetLoads(time.Now().Add(time.Hour)) {
 			t.Error("fleet sums must be available now and expire within an hour")
@@ -90,16 +90,16 @@
 		if roles[PrimaryHub] != 3 || roles[SecondaryHub] != 6 || roles[Member] != 231 {
 			t.Errorf("roles %v, want one primary hub in each zone", roles)
 		}
-		asked := make(map[string]int)
+		memberCounts := make(map[string]int)
 		for _, n := range nodes {
 			self := n.options.Self()
 			hub := hubFor(self, n.hubs(n.now))
 			if hub.AvailabilityZone != self.AvailabilityZone {
 				t.Errorf("%s in %s has a hub in %s", self.Name, self.AvailabilityZone, hub.AvailabilityZone)
 			}
-			asked[hub.Name]++
+			memberCounts[hub.Name]++
 		}
-		for name, members := range asked {
+		for name, members := range memberCounts {
 			if members > 2*nodesPerHub {
 				t.Errorf("%d members of hub %s", members, name)
 			}
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestResponseIncludesHubs: nodes need current state of the hubs, but rarely hear of
-// others.
+// TestResponseIncludesHubs: nodes need current state of the hubs, which a random sample of
+// the fleet rarely includes.
 func TestResponseIncludesHubs(t *testing.T) {
 	nodes := fleetOf(240, 3)
 	hubs := nodes[0].hubs(nodes[0].now)
@@ -183,24 +183,24 @@
 	nodes := largeFleet(30)
 	hub := nodes[0].hubOf("z0", nodes[0].now)
 	member := memberOf(nodes, hub.Name)
-	asked := make(map[string]int)
+	calls := make(map[string]int)
 	for range 80 {
 		for _, target := range member.targets() {
 			if target.name == hub.Name {
-				asked["hub"]++
+				calls["hub"]++
 			} else {
-				asked[findNode(nodes, target.name).options.Self().AvailabilityZone]++
+				calls[findNode(nodes, target.name).options.Self().AvailabilityZone]++
 			}
 		}
 	}
-	across := asked["z1"] + asked["z2"]
-	if asked["hub"] < 80 || asked["z0"] < 20 || across == 0 || across > 15 {
-		t.Errorf("calls in 80 rounds: %v", asked)
+	crossZone := calls["z1"] + calls["z2"]
+	if calls["hub"] < 80 || calls["z0"] < 20 || crossZone == 0 || crossZone > 15 {
+		t.Errorf("calls in 80 rounds: %v", calls)
 	}
 }
 
-// sees marks the others as seen by the node now.
-func (n *testNode) sees(others []*testNode) {
+// markSeen marks the others as seen by the node now.
+func (n *testNode) markSeen(others []*testNode) {
 	for _, other := range others {
 		self := other.options.Self()
 		self.LastSeen = n.now
@@ -215,7 +215,7 @@
 	want := len(nodes[0].hubs(nodes[0].now))
 	a := nodes[1]
 	a.now += 5 * second
-	a.sees(nodes[:120])
+	a.markSeen(nodes[:120])
 	if got := len(a.hubs(a.now)); got != want {
 		t.Errorf("%d hubs with half of the nodes seen recently, want %d", got, want)
 	}
@@ -227,7 +227,7 @@
 	nodes := fleetOf(240, 3)
 	a := nodes[1]
 	a.now += 2 * second
-	a.sees(nodes[:120])
+	a.markSeen(nodes[:120])
 	for range 20 {
 		if targets := a.targets(); len(targets) > callsPerRound {
 			t.Fatalf("%d nodes are called in a round", len(targets))
--- a/internal/nodesync/hub_test.go
+++ b/internal/nodesync/hub_test.go
@@ -15,7 +15,7 @@
 // with one running request on replica "i".
 func largeFleet(n int) []*testNode { return fleetOf(n, 3) }
 
-// fleetOf is largeFleet with the given number of availability zones.
+// fleetOf returns n nodes as largeFleet does, in the given number of availability zones.
 func fleetOf(n, zones int) []*testNode {
 	listing := replica.Listing{Revision: 1, Replicas: []replica.Replica{{ID: "i", Upstream: "u", Address: "x:1"}}}
 	var nodes []*testNode
@@ -101,13 +101,13 @@
 
 func TestFailedHubIsReplaced(t *testing.T) {
 	nodes := largeFleet(30)
-	gone := nodes[0].hubOf("z1", 100*second)
+	failed := nodes[0].hubOf("z1", 100*second)
 	for _, n := range nodes {
-		n.options.Nodes.MarkFailed(gone.Name, boottime.Instant(101*time.Second))
+		n.options.Nodes.MarkFailed(failed.Name, boottime.Instant(101*time.Second))
 	}
 	next := nodes[0].hubOf("z1", 100*second)
-	if next.Name == gone.Name || next.Name == "" {
-		t.Errorf("hub after failure of %s is %q", gone.Name, next.Name)
+	if next.Name == failed.Name || next.Name == "" {
+		t.Errorf("hub after failure of %s is %q", failed.Name, next.Name)
 	}
 }
 
@@ -132,11 +132,11 @@
 		if n.Role() == PrimaryHub && len(targets) < zones-1 {
 			t.Errorf("hub calls %d nodes, want the hubs of %d other zones", len(targets), zones-1)
 		}
-		asksSilent := false
+		callsCandidate := false
 		for _, target := range targets {
-			asksSilent = asksSilent || target.name == "silent"
+			callsCandidate = callsCandidate || target.name == "silent"
 		}
-		if !asksSilent {
+		if !callsCandidate {
 			t.Errorf("%s does not call the candidate node", n.options.Self().Name)
 		}
 	}
--- a/internal/nodesync/hubchoice_test.go
+++ b/internal/nodesync/hubchoice_test.go
@@ -36,26 +36,26 @@
 // that chooses.
 func hubsBySorting(nodes []Node, now boottime.Instant) []Node {
 	sizes := make(map[string]int)
-	var staying []Node
+	var eligible []Node
 	for i, n := range nodes {
 		sizes[n.AvailabilityZone]++
 		if i == len(nodes)-1 || now.Sub(n.LastSeen) < aliveTimeout && !n.Leaving {
 			n.rank = hashRank(n.Name)
-			staying = append(staying, n)
+			eligible = append(eligible, n)
 		}
 	}
-	if len(staying) < minNodesForHubs {
+	if len(eligible) < minNodesForHubs {
 		return nil
 	}
-	slices.SortFunc(staying, func(a, b Node) int {
+	slices.SortFunc(eligible, func(a, b Node) int {
 		return cmp.Or(cmp.Compare(a.AvailabilityZone, b.AvailabilityZone), compareHubCandidates(&a, &b))
 	})
 	var hubs []Node
-	taken := make(map[string]int)
-	for _, n := range staying {
+	hubCount := make(map[string]int)
+	for _, n := range eligible {
 		zone := n.AvailabilityZone
-		if taken[zone] < (sizes[zone]+nodesPerHub-1)/nodesPerHub {
-			taken[zone]++
+		if hubCount[zone] < (sizes[zone]+nodesPerHub-1)/nodesPerHub {
+			hubCount[zone]++
 			hubs = append(hubs, n)
 		}
 	}
--- a/internal/nodesync/listing.go
+++ b/internal/nodesync/listing.go
@@ -11,26 +11,26 @@
 // addListing adds the replica listing to a response: only the changes since the caller's
 // listing if possible, because the full listing of a large fleet takes a quarter of a
 // megabyte.
-func (s *Sync) addListing(answer *nodesyncv1.ExchangeResponse, request *nodesyncv1.ExchangeRequest, listing replica.Listing) {
+func (s *Sync) addListing(reply *nodesyncv1.ExchangeResponse, request *nodesyncv1.ExchangeRequest, listing replica.Listing) {
 	delta, known := s.options.Replicas.DeltaSince(request.GetReplicasDigest())
 	if !known || !request.GetTakesChanges() {
-		answer.Replicas = replicasToProto(listing.Replicas)
+		reply.Replicas = replicasToProto(listing.Replicas)
 		return
 	}
-	answer.ReplicasFrom = delta.From
-	answer.Replicas = replicasToProto(delta.Changed)
-	answer.RemovedReplicas = delta.Removed
+	reply.ReplicasFrom = delta.From
+	reply.Replicas = replicasToProto(delta.Changed)
+	reply.RemovedReplicas = delta.Removed
 }
 
 var errDeltaMismatch = errors.New("nodesync: replica listing delta does not match the sender's digest")
 
-// mergeReplicas applies the listing of a response unless it is older than the own one.
+// mergeReplicas applies the listing of a response unless it is older than this node's.
 func (s *Sync) mergeReplicas(m *nodesyncv1.ExchangeResponse, from string, callStart boottime.Instant) {
-	own, _ := s.options.Replicas.Latest()
-	if m.GetReplicasRevision() == 0 || m.GetReplicasRevision() < own.Revision {
+	ownListing, _ := s.options.Replicas.Latest()
+	if m.GetReplicasRevision() == 0 || m.GetReplicasRevision() < ownListing.Revision {
 		return
 	}
-	listing, err := decodeListing(m, own)
+	listing, err := decodeListing(m, ownListing)
 	if err != nil {
 		s.fullListingNeeded.Store(true)
 		s.options.Log.Error("apply replica listing delta from "+from, err)
@@ -44,19 +44,19 @@
 }
 
 // decodeListing returns the listing of a response. It is zero if it cannot be built from
-// own.
-func decodeListing(m *nodesyncv1.ExchangeResponse, own replica.Listing) (replica.Listing, error) {
+// ownListing.
+func decodeListing(m *nodesyncv1.ExchangeResponse, ownListing replica.Listing) (replica.Listing, error) {
 	listing := replica.Listing{Revision: m.GetReplicasRevision(), Digest: m.GetReplicasDigest()}
 	switch {
-	case listing.Digest == own.Digest:
-		listing.Replicas = own.Replicas
+	case listing.Digest == ownListing.Digest:
+		listing.Replicas = ownListing.Replicas
 	case m.GetReplicasFrom() != 0:
-		if m.GetReplicasFrom() != own.Digest {
+		if m.GetReplicasFrom() != ownListing.Digest {
 			// Another response has changed the listing since the request was sent.
 			return replica.Listing{}, nil
 		}
 		delta := replica.Delta{Changed: replicasFromProto(m.GetReplicas()), Removed: m.GetRemovedReplicas()}
-		listing.Replicas = delta.Apply(own.Replicas)
+		listing.Replicas = delta.Apply(ownListing.Replicas)
 		if replica.Digest(listing.Replicas) != listing.Digest {
 			return replica.Listing{}, errDeltaMismatch
 		}
--- a/internal/nodesync/listing_test.go
+++ b/internal/nodesync/listing_test.go
@@ -20,8 +20,8 @@
 	return l
 }
 
-// hasListing checks that node a has the listing of node b.
-func hasListing(t *testing.T, a, b *testNode) {
+// checkListing checks that node a has the listing of node b.
+func checkListing(t *testing.T, a, b *testNode) {
 	t.Helper()
 	got, _ := a.options.Replicas.Latest()
 	want, _ := b.options.Replicas.Latest()
@@ -36,15 +36,15 @@
 	a, b := newTestNode("a", 100*second), newTestNode("b", 100*second)
 	b.options.Replicas.Update(listingOf(5, 200), b.now, b.now)
 	a.exchangeWith(t, b, 0, 0)
-	hasListing(t, a, b)
+	checkListing(t, a, b)
 	b.options.Replicas.Update(listingOf(6, 199, 7), b.now, b.now)
 	b.options.Replicas.Update(listingOf(7, 199, 7, 9), b.now, b.now)
-	answer := b.response(a.request(target{name: "b"}, a.now))
-	if len(answer.GetReplicas()) != 2 || len(answer.GetRemovedReplicas()) != 1 {
-		t.Errorf("delta has %d changed and %d removed replicas, want 2 and 1", len(answer.GetReplicas()), len(answer.GetRemovedReplicas()))
+	reply := b.response(a.request(target{name: "b"}, a.now))
+	if len(reply.GetReplicas()) != 2 || len(reply.GetRemovedReplicas()) != 1 {
+		t.Errorf("delta has %d changed and %d removed replicas, want 2 and 1", len(reply.GetReplicas()), len(reply.GetRemovedReplicas()))
 	}
 	a.exchangeWith(t, b, 0, 0)
-	hasListing(t, a, b)
+	checkListing(t, a, b)
 }
 
 // TestFullListingIsSentWhenDeltaIsUnusable covers a caller that does not support
@@ -56,12 +56,12 @@
 	b.options.Replicas.Update(listingOf(6, 20, 3), b.now, b.now)
 	older := a.request(target{name: "b"}, a.now)
 	older.TakesChanges = false
-	if answer := b.response(older); len(answer.GetReplicas()) != 20 || answer.GetReplicasFrom() != 0 {
-		t.Errorf("caller without delta support got %d replicas from %x", len(answer.GetReplicas()), answer.GetReplicasFrom())
+	if reply := b.response(older); len(reply.GetReplicas()) != 20 || reply.GetReplicasFrom() != 0 {
+		t.Errorf("caller without delta support got %d replicas from %x", len(reply.GetReplicas()), reply.GetReplicasFrom())
 	}
 	a.options.Replicas.Update(listingOf(5, 20, 1, 2), a.now, a.now)
 	a.exchangeWith(t, b, 0, 0)
-	hasListing(t, a, b)
+	checkListing(t, a, b)
 }
 
 // TestMismatchingDeltaIsDropped checks that the node then requests the full listing.
@@ -71,12 +71,12 @@
 	a.exchangeWith(t, b, 0, 0)
 	b.options.Replicas.Update(listingOf(6, 20, 3, 4), b.now, b.now)
 	request := a.request(target{name: "b"}, a.now)
-	answer := b.response(request)
-	answer.Replicas = answer.Replicas[1:]
-	a.handleResponse(answer, request, a.now)
+	reply := b.response(request)
+	reply.Replicas = reply.Replicas[1:]
+	a.handleResponse(reply, request, a.now)
 	if got, _ := a.options.Replicas.Latest(); got.Revision != 5 {
 		t.Errorf("listing of revision %d is in use, want 5", got.Revision)
 	}
 	a.exchangeWith(t, b, 0, 0)
-	hasListing(t, a, b)
+	checkListing(t, a, b)
 }
--- a/internal/nodesync/loads.go
+++ b/internal/nodesync/loads.go
@@ -21,13 +21,13 @@
 func (s *Sync) loadOptionsFor(name string, now boottime.Instant) loadOptions {
 	hubs := s.hubs(now)
 	self := s.options.Self()
-	own := hubFor(self, hubs)
+	ownHub := hubFor(self, hubs)
 	switch {
-	case own.Name == "":
+	case ownHub.Name == "":
 		return loadOptions{}
-	case own.Name == name:
+	case ownHub.Name == name:
 		return loadOptions{aggregate: true}
-	case own.Name == self.Name && slices.ContainsFunc(hubs, func(hub Node) bool { return hub.Name == name }):
+	case ownHub.Name == self.Name && slices.ContainsFunc(hubs, func(hub Node) bool { return hub.Name == name }):
 		return loadOptions{}
 	default:
 		return loadOptions{omit: s.options.Placer.HasFleetLoads(time.Now())}
@@ -53,9 +53,9 @@
 
 // addLoads adds this node's loads and the placements that the recipient does not have
 // yet.
-func (s *Sync) addLoads(answer *nodesyncv1.ExchangeResponse, recipient string) {
+func (s *Sync) addLoads(reply *nodesyncv1.ExchangeResponse, recipient string) {
 	now := time.Now()
-	answer.Loads = loadsToProto(s.options.Placer.Loads(now))
-	answer.Placements = placementsToProto(s.options.Placer.Placements(now, s.cursors.since(recipient)))
+	reply.Loads = loadsToProto(s.options.Placer.Loads(now))
+	reply.Placements = placementsToProto(s.options.Placer.Placements(now, s.cursors.since(recipient)))
 	s.cursors.set(recipient, now)
 }
--- a/internal/nodesync/nodes.go
+++ b/internal/nodesync/nodes.go
@@ -115,7 +115,7 @@
 	return true
 }
 
-// evictSilent makes room by removing replaced VMs. The caller holds the lock.
+// evictSilent removes the nodes that are no longer retained. The caller holds the lock.
 func (n *Nodes) evictSilent(now boottime.Instant) {
 	n.sorted = slices.DeleteFunc(n.sorted, func(r *record) bool {
 		if r.retained(now) {
@@ -142,8 +142,8 @@
 	return n.changes
 }
 
-// visit calls f for each record by name, under the read lock. f must not keep or modify
-// it.
+// visit calls f for each record in the order of names, under the read lock. f must not
+// keep or modify the record.
 func (n *Nodes) visit(f func(*record)) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -237,8 +237,8 @@
 }
 
 // AddCandidate adds a node that may exist, so that it is called. It leaves a retained
-// node as it is; a forgotten one is called again, so that the sides of a long partition
-// reconnect.
+// node as it is; one that was silent for longer is called again, so that the sides of a
+// long partition reconnect.
 func (n *Nodes) AddCandidate(node Node, now boottime.Instant) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/nodesync/nodes_test.go
+++ b/internal/nodesync/nodes_test.go
@@ -47,13 +47,13 @@
 	a.options.Nodes.Merge(Node{Name: "other", PeerAddress: "other:1", LastSeen: a.now})
 	a.now += boottime.Instant(retentionTime) + second
 	a.options.Nodes.AddCandidate(Node{Name: "other", PeerAddress: "other:1"}, a.now)
-	asked := make(map[string]bool)
+	called := make(map[string]bool)
 	for range 20 {
 		for _, target := range a.targets() {
-			asked[target.address] = true
+			called[target.address] = true
 		}
 	}
-	if !asked["seed:1"] || !asked["other:1"] {
-		t.Errorf("called %v after the partition", asked)
+	if !called["seed:1"] || !called["other:1"] {
+		t.Errorf("called %v after the partition", called)
 	}
 }
--- a/internal/nodesync/ratelimits.go
+++ b/internal/nodesync/ratelimits.go
@@ -9,8 +9,9 @@
 	"galenatrestle/internal/ratelimit"
 )
 
-// mergeRateLimits merges the rate limits of another node. It skips those of unknown
-// replicas, because they would never be removed.
+// mergeRateLimits merges the rate limits of another node. callStart is the instant that
+// their ages are subtracted from: the start of the call for a response, the arrival for a
+// request. Limits of unknown replicas are skipped, because they would never be removed.
 func (s *Sync) mergeRateLimits(received []*ratelimitv1.Limit, from string, callStart boottime.Instant) {
 	limits := slices.DeleteFunc(ratelimit.FromProto(received, callStart), func(l ratelimit.Limit) bool {
 		return !s.options.Replicas.HasProcess(l.Replica, l.StartedAt)
@@ -51,8 +52,8 @@
 }
 
 // SeenFraction returns the fraction of the known nodes, without leaving ones, that were
-// seen recently. The others may have stopped, or be in a partition that decides on its
-// own.
+// seen recently. The others may have stopped, or be in another partition, which has its
+// own permit issuers.
 func (s *Sync) SeenFraction() float64 {
 	now := s.options.Clock()
 	window := max(aliveTimeout, silenceThreshold(s.options.Nodes.KnownCount(now)-1)) + lateTolerance
@@ -69,5 +70,6 @@
 	return float64(seen) / float64(known)
 }
 
-// lateTolerance is added to the usual time between two sightings of a node.
+// lateTolerance is added to the time after which SeenFraction no longer counts a node as
+// seen recently.
 const lateTolerance = 500 * time.Millisecond
--- a/internal/nodesync/ratelimits_test.go
+++ b/internal/nodesync/ratelimits_test.go
@@ -9,21 +9,22 @@
 	"galenatrestle/internal/replica"
 )
 
-// reportRate simulates a response of the replica that reports a rate limit, or none any
-// more.
+// reportRate simulates a response of the replica that reports a rate limit, or that the
+// limit no longer applies.
 func (n *testNode) reportRate(id string, limited bool) {
 	n.options.RateLimitTable.Observe(ratelimit.Observation{
 		Replica: replica.Replica{ID: id}, Limited: limited, PerSecond: 2, Succeeded: true, SentAt: n.now, ReceivedAt: n.now + 1,
 	})
 }
 
-// nodesWithLimit counts the nodes that know a limit.
+// nodesWithLimit returns the number of limits in force, summed over the nodes; with one
+// limited replica that is the number of nodes that have the limit.
 func nodesWithLimit(nodes []*testNode) int {
-	known := 0
+	count := 0
 	for _, n := range nodes {
-		known += len(n.options.RateLimitTable.InForce())
+		count += len(n.options.RateLimitTable.InForce())
 	}
-	return known
+	return count
 }
 
 func TestRateLimitReachesAllNodesInThreeRounds(t *testing.T) {
@@ -31,10 +32,10 @@
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			nodes := largeFleet(count)
 			nodes[count-1].reportRate("i", true)
-			tick(nodes)
+			advanceClocks(nodes)
 			for range 3 {
 				round(t, nodes)
-				tick(nodes)
+				advanceClocks(nodes)
 			}
 			if got := nodesWithLimit(nodes); got != count {
 				t.Errorf("%d of %d nodes have the limit after three rounds", got, count)
@@ -42,7 +43,7 @@
 			nodes[0].reportRate("i", false)
 			for range 3 {
 				round(t, nodes)
-				tick(nodes)
+				advanceClocks(nodes)
 			}
 			if got := nodesWithLimit(nodes); got != 0 {
 				t.Errorf("%d nodes still have a removed limit", got)
@@ -51,8 +52,8 @@
 	}
 }
 
-// tick advances the clocks of all nodes by one round.
-func tick(nodes []*testNode) {
+// advanceClocks advances the clocks of all nodes by one round.
+func advanceClocks(nodes []*testNode) {
 	for _, n := range nodes {
 		n.now += boottime.Instant(roundInterval)
 	}
@@ -111,14 +112,15 @@
 	}
 }
 
-// TestSeenFractionDuringPartition: each part of a partitioned fleet has its own issuer.
+// TestSeenFractionDuringPartition guards against counting the nodes of the other partition
+// as seen.
 func TestSeenFractionDuringPartition(t *testing.T) {
 	nodes := largeFleet(8)
 	if got := nodes[0].SeenFraction(); got != 1 {
 		t.Errorf("fraction %g with all nodes seen", got)
 	}
 	for range 20 {
-		tick(nodes)
+		advanceClocks(nodes)
 		for _, half := range [][]*testNode{nodes[:4], nodes[4:]} {
 			for _, a := range half {
 				for _, b := range half {
--- a/internal/nodesync/sums.go
+++ b/internal/nodesync/sums.go
@@ -31,17 +31,19 @@
 	return s.sums.group, s.sums.fleet
 }
 
-// addSums adds the group's sum to a response to a hub, or the fleet's sum to a member's.
-func (s *Sync) addSums(answer *nodesyncv1.ExchangeResponse, toHub bool) {
+// addSums adds the sum of this hub's group to a response to another hub, or the fleet's
+// sum to a response to a member.
+func (s *Sync) addSums(reply *nodesyncv1.ExchangeResponse, toHub bool) {
 	group, fleet := s.currentSums(time.Now())
 	if toHub {
-		answer.GroupLoads = group
+		reply.GroupLoads = group
 		return
 	}
-	answer.FleetLoads = fleet
+	reply.FleetLoads = fleet
 }
 
-// mergeSums merges the sums of a hub. The fleet's sum includes the loads in the request.
+// mergeSums merges the sums of a hub. The fleet's sum includes the loads that this node
+// sent in the request; the placer subtracts them.
 func (s *Sync) mergeSums(m *nodesyncv1.ExchangeResponse, from Node, request *nodesyncv1.ExchangeRequest, isHub bool) {
 	now := time.Now()
 	if group := m.GetGroupLoads(); isHub && len(group) > 0 {
--- a/internal/nodesync/sync.go
+++ b/internal/nodesync/sync.go
@@ -23,11 +23,11 @@
 	roundInterval = 200 * time.Millisecond
 	// roundJitter keeps nodes that started together from calling at the same time.
 	roundJitter = 50 * time.Millisecond
-	// callsPerRound is the number of nodes called in a round. In a fleet of eight, news
-	// reaches all nodes in two rounds.
+	// callsPerRound is the number of nodes called in a round. In a fleet of eight, a
+	// change reaches all nodes in two rounds.
 	callsPerRound = 3
-	// recentUseWindow is how long after its last choice of a replica a node does not
-	// count as idle.
+	// recentUseWindow is the time after which a node that has chosen no replica counts as
+	// idle.
 	recentUseWindow = 3 * time.Second
 	// callTimeout bounds one call; the latency between nodes is a few milliseconds.
 	callTimeout = 400 * time.Millisecond
@@ -178,12 +178,12 @@
 	}
 	isHub := s.Role().aggregates()
 	s.mergeLoads(caller, receivedLoads{m.GetLoads(), m.GetPlacements(), m.GetAddsUp(), isHub}, now)
-	answer := s.response(m)
-	s.addLoads(answer, caller.Name)
+	reply := s.response(m)
+	s.addLoads(reply, caller.Name)
 	if isHub {
-		s.addSums(answer, !m.GetAddsUp())
+		s.addSums(reply, !m.GetAddsUp())
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(reply), nil
 }
 
 // response returns this node's state and whatever newer state the caller lacks.
@@ -194,7 +194,7 @@
 	now := s.options.Clock()
 	self := s.options.Self()
 	self.LastSeen = now
-	answer := &nodesyncv1.ExchangeResponse{
+	reply := &nodesyncv1.ExchangeResponse{
 		Self:             s.selfToProto(self, now),
 		ConfigVersion:    snapshot.Version(),
 		ConfigProofAge:   snapshot.Age(now).Microseconds(),
@@ -205,15 +205,15 @@
 		RateLimits:       ratelimit.ToProto(s.options.RateLimitTable.ForPeers(), now),
 	}
 	for _, n := range s.nodesForResponse(m.GetSelf().GetAvailabilityZone(), now) {
-		answer.Nodes = append(answer.Nodes, nodeToProto(n, now))
+		reply.Nodes = append(reply.Nodes, nodeToProto(n, now))
 	}
 	if snapshot.Version() > m.GetConfigVersion() {
-		answer.Config = snapshot.Document
+		reply.Config = snapshot.Document
 	}
-	if listing.Revision > m.GetReplicasRevision() && answer.ReplicasDigest != m.GetReplicasDigest() {
-		s.addListing(answer, m, listing)
+	if listing.Revision > m.GetReplicasRevision() && reply.ReplicasDigest != m.GetReplicasDigest() {
+		s.addListing(reply, m, listing)
 	}
-	return answer
+	return reply
 }
 
 // handleResponse merges the response to a call that started at callStart.
@@ -256,9 +256,9 @@
 	}
 }
 
-// mergeConfig applies a newer document, or the proof that the own document (or having
-// none yet) is current. Without the latter, every node of a starting fleet polls the
-// store.
+// mergeConfig applies the document of a response, or, if it has none, the proof that this
+// node's version is current. A proof for version zero says that there is no document yet;
+// without it, every node of a new fleet would poll the store.
 func (s *Sync) mergeConfig(m *nodesyncv1.ExchangeResponse, from string, callStart boottime.Instant) {
 	provenAt := callStart.Add(-microseconds(m.GetConfigProofAge()))
 	if len(m.GetConfig()) == 0 {
--- a/internal/nodesync/sync_test.go
+++ b/internal/nodesync/sync_test.go
@@ -60,23 +60,25 @@
 
 const second = boottime.Instant(time.Second)
 
-// exchangeWith makes a call from a to b; request and response take the times out and back.
-func (a *testNode) exchangeWith(t *testing.T, b *testNode, out, back boottime.Instant) {
+// exchangeWith makes a call from a to b. The request and the response arrive after the
+// given delays.
+func (a *testNode) exchangeWith(t *testing.T, b *testNode, requestDelay, responseDelay boottime.Instant) {
 	t.Helper()
-	began := a.now
-	request := a.request(target{name: b.options.Self().Name}, began)
-	a.now += out
-	b.now += out
+	callStart := a.now
+	request := a.request(target{name: b.options.Self().Name}, callStart)
+	a.now += requestDelay
+	b.now += requestDelay
 	response, err := b.Exchange(context.Background(), connect.NewRequest(request))
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.now += back
-	b.now += back
-	a.handleResponse(response.Msg, request, began)
+	a.now += responseDelay
+	b.now += responseDelay
+	a.handleResponse(response.Msg, request, callStart)
 }
 
-// TestProofNeverLooksFresherThanItIs delays both directions between unrelated clocks.
+// TestProofNeverLooksFresherThanItIs covers delayed requests and responses between nodes
+// whose clocks are unrelated.
 func TestProofNeverLooksFresherThanItIs(t *testing.T) {
 	for _, delay := range [][2]boottime.Instant{{0, 0}, {second, 0}, {0, second}, {3 * second, 9 * second}} {
 		a, b := newTestNode("a", 1000*second), newTestNode("b", 50*second)
@@ -84,10 +86,10 @@
 			t.Fatal(err)
 		}
 		proofAge := b.now - b.options.Routes.Get().ProvenAt
-		began := a.now
+		callStart := a.now
 		a.exchangeWith(t, b, delay[0], delay[1])
 		got := a.options.Routes.Get()
-		if got.Version() != 7 || got.ProvenAt > began-proofAge || a.now-got.ProvenAt < b.now-b.options.Routes.Get().ProvenAt {
+		if got.Version() != 7 || got.ProvenAt > callStart-proofAge || a.now-got.ProvenAt < b.now-b.options.Routes.Get().ProvenAt {
 			t.Errorf("delays %v: version %d proven %s ago, at the other node %s ago", delay, got.Version(),
 				a.now.Sub(got.ProvenAt), b.now.Sub(b.options.Routes.Get().ProvenAt))
 		}
@@ -135,7 +137,7 @@
 	// The same replicas at a later revision need not be sent again.
 	listing.Revision = 9
 	b.options.Replicas.Update(listing, b.now, b.now)
-	if answer := b.response(a.request(target{name: b.options.Self().Name}, a.now)); len(answer.GetReplicas()) != 0 {
+	if reply := b.response(a.request(target{name: b.options.Self().Name}, a.now)); len(reply.GetReplicas()) != 0 {
 		t.Error("listing was sent although the caller has it")
 	}
 	a.exchangeWith(t, b, 0, 0)
@@ -187,7 +189,7 @@
 func TestSeedsAreCalledUntilANodeAnswers(t *testing.T) {
 	a := newTestNode("a", 100*second)
 	a.options.Nodes.SetSeeds([]string{"a:1", "b:1", "c:1"})
-	asked := func() map[string]bool {
+	calledAddresses := func() map[string]bool {
 		all := make(map[string]bool)
 		for range 50 {
 			for _, t := range a.targets() {
@@ -196,7 +198,7 @@
 		}
 		return all
 	}
-	if got := asked(); !got["b:1"] || !got["c:1"] || got["a:1"] {
+	if got := calledAddresses(); !got["b:1"] || !got["c:1"] || got["a:1"] {
 		t.Errorf("called %v", got)
 	}
 	a.options.Nodes.Merge(Node{Name: "b", PeerAddress: "b:1", LastSeen: a.now})
@@ -253,7 +255,8 @@
 	}
 }
 
-// TestPlacementsAreNotSentRepeatedly: only a node that may have restarted gets all again.
+// TestPlacementsAreNotSentRepeatedly: only a node that may have restarted is sent all
+// placements again.
 func TestPlacementsAreNotSentRepeatedly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := newTestNode("a", 100*second), newTestNode("b", 100*second)
@@ -264,12 +267,12 @@
 		}
 		sentParts := func() int {
 			time.Sleep(2 * cursorOverlap)
-			answer, err := b.Exchange(t.Context(), connect.NewRequest(a.request(target{name: "b"}, a.now)))
+			response, err := b.Exchange(t.Context(), connect.NewRequest(a.request(target{name: "b"}, a.now)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			parts := 0
-			for _, placed := range answer.Msg.GetPlacements() {
+			for _, placed := range response.Msg.GetPlacements() {
 				parts += len(placed.GetParts())
 			}
 			return parts
--- a/internal/nodesync/targets.go
+++ b/internal/nodesync/targets.go
@@ -56,8 +56,8 @@
 }
 
 const (
-	// nonHubRounds is the interval, in rounds, of calls to a random node besides the
-	// hubs, so that state spreads even if the hubs fail.
+	// nonHubRounds is the interval, in rounds, of calls to a random node in addition to
+	// the hubs, so that state spreads even if the hubs fail.
 	nonHubRounds = 2
 	// crossZoneRounds is the interval, in rounds, at which that node may be in another
 	// zone. Traffic between zones costs money, and the hubs already exchange state across
@@ -76,18 +76,19 @@
 	}))
 }
 
-// aliveTargets returns the recently seen nodes to call in a round: in a fleet with hubs,
-// the own hub or for a hub all others, plus sometimes a random node; else random nodes.
+// aliveTargets returns the recently seen nodes to call in a round. Without hubs they are
+// random nodes. With hubs, a member calls its hub, a hub calls all other hubs, and both
+// sometimes call a random node too.
 func (s *Sync) aliveTargets(now boottime.Instant) []target {
 	self := s.options.Self()
 	hubs := s.hubs(now)
-	own := hubFor(self, hubs)
-	if own.Name == "" {
+	ownHub := hubFor(self, hubs)
+	if ownHub.Name == "" {
 		return targetsOf(s.options.Nodes.sample(callsPerRound, s.intN, func(r *record) bool { return r.seenWithin(aliveTimeout, now) }))
 	}
 	targets := s.nonHubTargets(self.AvailabilityZone, now)
-	if own.Name != self.Name {
-		return append(targets, targetOf(own))
+	if ownHub.Name != self.Name {
+		return append(targets, targetOf(ownHub))
 	}
 	for _, hub := range hubs {
 		if hub.Name != self.Name {
--- a/internal/nodesync/told.go
+++ b/internal/nodesync/told.go
@@ -3,8 +3,8 @@
 import "galenatrestle/internal/boottime"
 
 const (
-	// maxSampledNodes bounds the random nodes in one response. At this bound, state of each
-	// node passes through a fleet of a hundred within aliveTimeout.
+	// maxSampledNodes bounds the random nodes in one response. It suffices for the state of
+	// each node to reach all nodes of a fleet of a hundred within aliveTimeout.
 	maxSampledNodes = 24
 	// maxSampledWithEntryNodes is the bound if the response also has the entry nodes of
 	// the caller's zone.
--- a/internal/nodesync/turn.go
+++ b/internal/nodesync/turn.go
@@ -4,7 +4,8 @@
 
 // StoreReaderIndex returns this node's position among the nodes that read the platform's
 // store for the others: all nodes of a small fleet, or the primary hubs. Nodes with the
-// same view of the fleet agree on the order. Other nodes get zero.
+// same view of the fleet agree on the order. For nodes that are not among them, the result
+// is zero as for the first one.
 func (s *Sync) StoreReaderIndex() int {
 	now := s.options.Clock()
 	self := s.options.Self()
--- a/internal/rounds/asks_test.go
+++ b/internal/rounds/asks_test.go
@@ -18,7 +18,7 @@
 func TestOwnerIsInFlightUntilResponseIsHandled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var got []handled
-		asks := &OwnerClient[int, int]{
+		client := &OwnerClient[int, int]{
 			Self:        "vm-0",
 			HandleLocal: func(n int) int { return n + 1 },
 			Call: func(_ context.Context, address string, n int) (int, error) {
@@ -29,28 +29,28 @@
 				return 10 * n, nil
 			},
 		}
-		asks.HandleResponse = func(owner string, _, answer int, err error) {
-			if owner != asks.Self && !asks.InFlight()[owner] {
+		client.HandleResponse = func(owner string, _, response int, err error) {
+			if owner != client.Self && !client.InFlight()[owner] {
 				t.Errorf("%s is not in flight while its response is handled", owner)
 			}
-			got = append(got, handled{owner, answer, err})
+			got = append(got, handled{owner, response, err})
 		}
-		asks.Send(t.Context(), "vm-0", "", 4)
-		if len(got) != 1 || got[0] != (handled{owner: "vm-0", response: 5}) || len(asks.InFlight()) != 0 {
-			t.Fatalf("handled %v, in flight %v", got, asks.InFlight())
+		client.Send(t.Context(), "vm-0", "", 4)
+		if len(got) != 1 || got[0] != (handled{owner: "vm-0", response: 5}) || len(client.InFlight()) != 0 {
+			t.Fatalf("handled %v, in flight %v", got, client.InFlight())
 		}
-		asks.Send(t.Context(), "vm-1", "peer:1", 4)
-		asks.Send(t.Context(), "vm-2", "cut:1", 4)
-		if busy := asks.InFlight(); !busy["vm-1"] || !busy["vm-2"] {
-			t.Errorf("in flight during the calls: %v", busy)
+		client.Send(t.Context(), "vm-1", "peer:1", 4)
+		client.Send(t.Context(), "vm-2", "cut:1", 4)
+		if inFlight := client.InFlight(); !inFlight["vm-1"] || !inFlight["vm-2"] {
+			t.Errorf("in flight during the calls: %v", inFlight)
 		}
-		asks.Wait()
-		if busy := asks.InFlight(); len(busy) != 0 {
-			t.Errorf("in flight after the calls: %v", busy)
+		client.Wait()
+		if inFlight := client.InFlight(); len(inFlight) != 0 {
+			t.Errorf("in flight after the calls: %v", inFlight)
 		}
-		for _, one := range got[1:] {
-			if failed := one.owner == "vm-2"; failed != (one.err != nil) || !failed && one.response != 40 {
-				t.Errorf("handled %+v", one)
+		for _, call := range got[1:] {
+			if failed := call.owner == "vm-2"; failed != (call.err != nil) || !failed && call.response != 40 {
+				t.Errorf("handled %+v", call)
 			}
 		}
 	})
--- a/internal/rounds/rounds.go
+++ b/internal/rounds/rounds.go
@@ -18,8 +18,8 @@
 }
 
 // Run blocks until ctx is done and the current step has returned.
-func (r Loop) Run(ctx context.Context) {
-	timer := time.NewTimer(r.InitialDelay)
+func (l Loop) Run(ctx context.Context) {
+	timer := time.NewTimer(l.InitialDelay)
 	defer timer.Stop()
 	lastSweep := time.Now()
 	for {
@@ -27,11 +27,11 @@
 		case <-ctx.Done():
 			return
 		case now := <-timer.C:
-			timer.Reset(r.Interval)
-			r.Step(ctx, now)
-			if now.Sub(lastSweep) > r.SweepInterval {
+			timer.Reset(l.Interval)
+			l.Step(ctx, now)
+			if now.Sub(lastSweep) > l.SweepInterval {
 				lastSweep = now
-				r.Sweep(now)
+				l.Sweep(now)
 			}
 		}
 	}
