--- a/internal/ratelimit/proto.go
+++ b/internal/ratelimit/proto.go
@@ -16,8 +16,9 @@
 	return messages
 }
 
-// FromProto converts the limits received in a call that began at callStart. A limit's
-// ObservedAt is callStart minus its age.
+// FromProto converts received limits. A limit's ObservedAt is callStart minus its age. For
+// limits in a response callStart is when the call began, for those in a request when it was
+// received.
 func FromProto(messages []*ratelimitv1.Limit, callStart boottime.Instant) []Limit {
 	limits := make([]Limit, 0, len(messages))
 	for _, l := range messages {
