--- a/internal/capacity/duties.go
+++ b/internal/capacity/duties.go
@@ -101,7 +101,7 @@
 		}
 		callbacks := lease.Callbacks{OnGained: func(context.Context, int64) {}, OnLost: func(int64, lease.EndReason) {}}
 		holder := lease.NewHolder(source, dutyName, callbacks, rand.New(rand.NewPCG(5, uint64(i))))
-		holder.Prefer(func() bool { return preferred })
+		holder.SetPreferred(func() bool { return preferred })
 		c.holders.Go(func() { _ = holder.Run(c.ctx) })
 	}
 	return nil
--- a/internal/duty/dutytest/judge.go
+++ b/internal/duty/dutytest/judge.go
@@ -19,9 +19,9 @@
 	At      time.Time
 }
 
-// Judge takes calls as the platform does, by their fences, and notes what must not be.
+// Checker takes calls as the platform does, by their fences, and notes what must not be.
 // It is safe for concurrent use.
-type Judge struct {
+type Checker struct {
 	// Lease is the time within which two holders may not act in turns.
 	Lease time.Duration
 
@@ -37,26 +37,26 @@
 	waits    sync.WaitGroup
 }
 
-// NewJudge returns a judge.
-func NewJudge(lease time.Duration, seed uint64) *Judge {
-	return &Judge{
+// NewChecker returns a judge.
+func NewChecker(lease time.Duration, seed uint64) *Checker {
+	return &Checker{
 		Lease: lease, highest: make(map[string]int64), holders: make(map[int64]string),
 		reports: make(map[int64]map[string]int64), random: rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
-// SetLate has a part of the calls carried out some seconds later, unanswered.
-func (j *Judge) SetLate(part float64) {
+// SetLateRate has a part of the calls carried out some seconds later, unanswered.
+func (j *Checker) SetLateRate(part float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.latePart = part
 }
 
 // Wait waits until no call is outstanding.
-func (j *Judge) Wait() { j.waits.Wait() }
+func (j *Checker) Wait() { j.waits.Wait() }
 
-// Take takes a call on the subject; done is what it does, under the judge's lock.
-func (j *Judge) Take(term duty.Term, subject string, done func()) error {
+// Handle takes a call on the subject; done is what it does, under the judge's lock.
+func (j *Checker) Handle(term duty.Term, subject string, done func()) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.noteSender(term)
@@ -75,7 +75,7 @@
 }
 
 // noteSender notes a fence that two holders send. The lock is held.
-func (j *Judge) noteSender(term duty.Term) {
+func (j *Checker) noteSender(term duty.Term) {
 	if holder, known := j.holders[term.Fence]; known && holder != term.Holder {
 		j.note("fence %d is sent by %s and %s", term.Fence, holder, term.Holder)
 	}
@@ -83,7 +83,7 @@
 }
 
 // carryOut does what the call asks, if its fence is not too low. The lock is held.
-func (j *Judge) carryOut(term duty.Term, subject string, done func(), sentNow bool) error {
+func (j *Checker) carryOut(term duty.Term, subject string, done func(), sentNow bool) error {
 	if term.Fence < j.highest[subject] {
 		return platform.ErrConflict
 	}
@@ -97,7 +97,7 @@
 
 // noteTurns notes holders that act in the order A, B, A within the lease. The lock is
 // held.
-func (j *Judge) noteTurns(c Call) {
+func (j *Checker) noteTurns(c Call) {
 	other := false
 	for i := len(j.calls) - 1; i >= 0 && c.At.Sub(j.calls[i].At) < j.Lease; i-- {
 		switch {
@@ -112,10 +112,10 @@
 }
 
 // Report takes a report of usage of a window.
-func (j *Judge) Report(term duty.Term, window int64, counts map[string]int64) error {
+func (j *Checker) Report(term duty.Term, window int64, counts map[string]int64) error {
 	// A late call brings what was sent, whatever the sender does with its map since.
 	sent := maps.Clone(counts)
-	return j.Take(term, "usage", func() {
+	return j.Handle(term, "usage", func() {
 		if before, told := j.reports[window]; told && !maps.Equal(before, sent) {
 			j.note("window %d is reported as %v and %v", window, before, sent)
 			return
@@ -124,26 +124,26 @@
 	})
 }
 
-func (j *Judge) note(format string, args ...any) {
+func (j *Checker) note(format string, args ...any) {
 	j.broken = append(j.broken, fmt.Sprintf(format, args...))
 }
 
-// Broken is what must not have been.
-func (j *Judge) Broken() []string {
+// Violations is what must not have been.
+func (j *Checker) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.broken
 }
 
 // Calls are the calls that were carried out when they were sent.
-func (j *Judge) Calls() []Call {
+func (j *Checker) Calls() []Call {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]Call(nil), j.calls...)
 }
 
 // Reports are the reports that were taken, by window.
-func (j *Judge) Reports() map[int64]map[string]int64 {
+func (j *Checker) Reports() map[int64]map[string]int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return maps.Clone(j.reports)
--- a/internal/duty/dutytest/store.go
+++ b/internal/duty/dutytest/store.go
@@ -26,9 +26,9 @@
 type StoreFaults struct {
 	// Down refuses all calls; Lapse has the leases run out meanwhile.
 	Down, Lapse bool
-	// LostPart is the part of the writes whose answer is lost, LatePart the part of
+	// LostAnswerRate is the part of the writes whose answer is lost, LateWriteRate the part of
 	// these that are made a while later, if their conditions still hold.
-	LostPart, LatePart float64
+	LostAnswerRate, LateWriteRate float64
 }
 
 // lateFor is how much later a late write is made at most.
@@ -166,10 +166,10 @@
 	if err != nil {
 		return 0, err
 	}
-	if s.random.Float64() >= s.faults.LostPart {
+	if s.random.Float64() >= s.faults.LostAnswerRate {
 		return s.commit(t)
 	}
-	if s.random.Float64() >= s.faults.LatePart {
+	if s.random.Float64() >= s.faults.LateWriteRate {
 		// Made, or refused, without an answer.
 		_, _ = s.commit(t)
 		return 0, platform.ErrUnavailable
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -25,7 +25,7 @@
 	TTL time.Duration
 	// Contends says whether this node tries now, if the duties are free.
 	Contends func() bool
-	Works    []Work
+	Tasks    []Task
 	Clock    boottime.Clock
 	Rand     *rand.Rand
 	Log      *eventlog.Log
@@ -91,7 +91,7 @@
 			return ok && held == fence
 		},
 	}
-	for _, work := range h.options.Works {
+	for _, work := range h.options.Tasks {
 		h.works.Go(func() { work.Run(ctx, term) })
 	}
 }
--- a/internal/duty/holder_test.go
+++ b/internal/duty/holder_test.go
@@ -23,13 +23,13 @@
 const ttl = 3 * time.Second
 
 // actor calls the platform again and again while it is the holder.
-type actor struct{ judge *dutytest.Judge }
+type actor struct{ judge *dutytest.Checker }
 
 func (a actor) Run(ctx context.Context, term duty.Term) {
 	for ctx.Err() == nil {
 		if term.Held() {
 			// What the platform says the judge notes.
-			_ = a.judge.Take(term, "subject", func() {})
+			_ = a.judge.Handle(term, "subject", func() {})
 		}
 		if ctxtime.Sleep(ctx, 100*time.Millisecond) != nil {
 			return
@@ -61,7 +61,7 @@
 type fleet struct {
 	t     *testing.T
 	store *dutytest.Store
-	judge *dutytest.Judge
+	judge *dutytest.Checker
 	began time.Time
 	stops map[string]context.CancelFunc
 	done  map[string]chan struct{}
@@ -87,7 +87,7 @@
 
 func newFleet(t *testing.T, seed uint64) *fleet {
 	return &fleet{
-		t: t, store: dutytest.NewStore(seed), judge: dutytest.NewJudge(ttl, seed), began: time.Now(),
+		t: t, store: dutytest.NewStore(seed), judge: dutytest.NewChecker(ttl, seed), began: time.Now(),
 		stops: make(map[string]context.CancelFunc), done: make(map[string]chan struct{}), cut: make(map[string]bool),
 	}
 }
@@ -98,7 +98,7 @@
 	f.runs++
 	holder, err := duty.NewHolder(duty.Options{
 		Store: cutStore{f.store, func() bool { return f.isCut(name) }}, Key: "holder", Node: name, Process: fmt.Sprint(name, "/", f.runs), TTL: ttl,
-		Contends: func() bool { return true }, Works: []duty.Work{actor{f.judge}}, Clock: f.clock,
+		Contends: func() bool { return true }, Tasks: []duty.Task{actor{f.judge}}, Clock: f.clock,
 		Rand: rand.New(rand.NewPCG(uint64(f.runs), 2)), Log: eventlog.New(io.Discard, name), Registry: prometheus.NewRegistry(),
 	})
 	if err != nil {
@@ -127,7 +127,7 @@
 	}
 	f.store.Wait()
 	f.judge.Wait()
-	for _, broken := range f.judge.Broken() {
+	for _, broken := range f.judge.Violations() {
 		f.t.Error(broken)
 	}
 }
@@ -233,22 +233,22 @@
 		case 0:
 			f.store.SetFaults(dutytest.StoreFaults{Down: true, Lapse: random.IntN(2) == 0})
 		case 1:
-			f.store.SetFaults(dutytest.StoreFaults{LostPart: 0.5, LatePart: 0.5})
+			f.store.SetFaults(dutytest.StoreFaults{LostAnswerRate: 0.5, LateWriteRate: 0.5})
 		case 2:
 			f.store.SetFaults(dutytest.StoreFaults{})
-			f.judge.SetLate(random.Float64() / 2)
+			f.judge.SetLateRate(random.Float64() / 2)
 		case 3:
 			f.stop(name)
 			f.start(name)
 		case 4:
 			f.setCut(name, !f.isCut(name))
 		case 5:
-			f.judge.SetLate(0)
+			f.judge.SetLateRate(0)
 		}
 		time.Sleep(time.Duration(random.Int64N(int64(2 * ttl))))
 	}
 	f.store.SetFaults(dutytest.StoreFaults{})
-	f.judge.SetLate(0)
+	f.judge.SetLateRate(0)
 	for _, name := range names {
 		f.setCut(name, false)
 	}
--- a/internal/duty/term.go
+++ b/internal/duty/term.go
@@ -14,7 +14,7 @@
 	Key string
 }
 
-// Work is what a holder does. Run returns when ctx ends, at the latest.
-type Work interface {
+// Task is what a holder does. Run returns when ctx ends, at the latest.
+type Task interface {
 	Run(ctx context.Context, term Term)
 }
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -97,7 +97,7 @@
 	}
 	n, s := d.node, d.node.options.Settings.PassThrough.Duties
 	n.peers.Mount(d.counts.Handler())
-	var works []duty.Work
+	var works []duty.Task
 	if s.Has(settings.Metering) {
 		works = append(works, usage.NewReporter(usage.ReporterOptions{
 			Store: n.options.Store, Platform: n.options.Duties,
@@ -115,7 +115,7 @@
 	}
 	holder, err := duty.NewHolder(duty.Options{
 		Store: n.options.Store, Key: dutiesKey, Node: n.options.Settings.Name, Process: d.process(),
-		TTL: s.Lease.Std(), Contends: d.contends, Works: works,
+		TTL: s.Lease.Std(), Contends: d.contends, Tasks: works,
 		Clock: n.options.Clock, Rand: rand.New(rand.NewPCG(n.options.Seed, 7)), Log: n.log, Registry: n.registry,
 	})
 	d.holder = holder
--- a/internal/edge/duties_test.go
+++ b/internal/edge/duties_test.go
@@ -13,7 +13,7 @@
 )
 
 // dutyStandIn takes the duties' calls.
-type dutyStandIn struct{ judge *dutytest.Judge }
+type dutyStandIn struct{ judge *dutytest.Checker }
 
 // Report implements usage.Platform.
 func (s dutyStandIn) Report(_ context.Context, term duty.Term, r usage.Report) error {
@@ -22,7 +22,7 @@
 
 // Order implements autoscale.Platform.
 func (s dutyStandIn) Order(_ context.Context, term duty.Term, o autoscale.Order) error {
-	return s.judge.Take(term, fmt.Sprint(o.Pool, o.Replicas), func() {})
+	return s.judge.Handle(term, fmt.Sprint(o.Pool, o.Replicas), func() {})
 }
 
 // reported is what the platform was told that the workspace used.
@@ -50,7 +50,7 @@
 		}
 	}
 	d.eventually("all calls are reported", func() bool { return d.duties.reported("shop") == calls*int64(len(d.nodes)) })
-	for _, broken := range d.duties.judge.Broken() {
+	for _, broken := range d.duties.judge.Violations() {
 		t.Error(broken)
 	}
 }
@@ -69,7 +69,7 @@
 	d.eventually("the other node holds the duties", func() bool { return second.duties.fence() > 0 })
 	before := len(d.duties.judge.Reports())
 	d.eventually("windows are reported again", func() bool { return len(d.duties.judge.Reports()) > before })
-	for _, broken := range d.duties.judge.Broken() {
+	for _, broken := range d.duties.judge.Violations() {
 		t.Error(broken)
 	}
 }
--- a/internal/edge/node_test.go
+++ b/internal/edge/node_test.go
@@ -194,7 +194,7 @@
 
 func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	d := &deployment{t: t, duties: dutyStandIn{dutytest.NewJudge(time.Second, 1)}, store: &storeStandIn{nodes: make(map[string]nodesync.Node), down: make(map[string]bool), kv: dutytest.NewStore(1)}}
+	d := &deployment{t: t, duties: dutyStandIn{dutytest.NewChecker(time.Second, 1)}, store: &storeStandIn{nodes: make(map[string]nodesync.Node), down: make(map[string]bool), kv: dutytest.NewStore(1)}}
 	d.service = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forwardtest.HeaderID, r.Header.Get(forwardtest.HeaderID))
 		w.Header().Set(forwardtest.HeaderStamp, "s")
--- a/internal/forward/crashes.go
+++ b/internal/forward/crashes.go
@@ -16,7 +16,7 @@
 // It is safe for concurrent use.
 type CrashGuard struct {
 	tracker *quarantine.Tracker
-	running *quarantine.Running
+	running *quarantine.ActiveRuns
 	// probe connects to a replica and returns the error if that fails.
 	probe func(ctx context.Context, r replica.Replica) error
 	log   *eventlog.Log
@@ -24,7 +24,7 @@
 
 // NewCrashGuard returns a guard that uses tracker, which is shared with other nodes.
 func NewCrashGuard(tracker *quarantine.Tracker, probe func(context.Context, replica.Replica) error, log *eventlog.Log) *CrashGuard {
-	return &CrashGuard{tracker: tracker, running: quarantine.NewRunning(), probe: probe, log: log}
+	return &CrashGuard{tracker: tracker, running: quarantine.NewActiveRuns(), probe: probe, log: log}
 }
 
 // quarantined reports whether the call is quarantined, and for how much longer.
--- a/internal/gateway/guard.go
+++ b/internal/gateway/guard.go
@@ -22,7 +22,7 @@
 // guard keeps requests that crash replicas from taking one after the other.
 type guard struct {
 	tracker *quarantine.Tracker
-	running *quarantine.Running
+	running *quarantine.ActiveRuns
 	// spread tells the peers of changed records.
 	spread  func(...quarantine.Record)
 	crashes prometheus.Counter
@@ -32,7 +32,7 @@
 func newGuard(options Options) *guard {
 	g := &guard{
 		tracker: options.Quarantine,
-		running: quarantine.NewRunning(),
+		running: quarantine.NewActiveRuns(),
 		spread:  options.SpreadQuarantine,
 		crashes: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: "trestle", Name: "replica_crashes_total",
--- a/internal/lease/fixture_test.go
+++ b/internal/lease/fixture_test.go
@@ -86,7 +86,7 @@
 		},
 		OnLost: func(_ int64, reason EndReason) { p.lost.Store(reason) },
 	}, rand.New(rand.NewPCG(1, uint64(len(name)))))
-	p.holder.Prefer(preferred)
+	p.holder.SetPreferred(preferred)
 	ctx, cancel := context.WithCancel(t.Context())
 	p.stop = cancel
 	go func() { p.ended <- p.holder.Run(ctx) }()
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -46,11 +46,11 @@
 // triesOfOthers is how many times rarer one that is not preferred tries.
 const triesOfOthers = 24
 
-// Prefer keeps the tries of many contenders few: while preferred says no, this
+// SetPreferred keeps the tries of many contenders few: while preferred says no, this
 // one tries triesOfOthers times more rarely, so that the lease is found a holder
 // also where the preferred process can't reach the platform. A term that is
 // held goes on either way. It is called before Run.
-func (h *Holder) Prefer(preferred func() bool) { h.preferred = preferred }
+func (h *Holder) SetPreferred(preferred func() bool) { h.preferred = preferred }
 
 // tries says whether to try for the lease this time.
 func (h *Holder) tries() bool {
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -132,7 +132,7 @@
 	}
 	m.source = source
 	m.holder = lease.NewHolder(source, controlLease, callbacks, rand.New(rand.NewPCG(o.Seed, controlStream)))
-	m.holder.Prefer(func() bool { return members.Owner(controlLease).Name == o.Name })
+	m.holder.SetPreferred(func() bool { return members.Owner(controlLease).Name == o.Name })
 	return nil
 }
 
--- a/internal/quarantine/running.go
+++ b/internal/quarantine/running.go
@@ -14,10 +14,10 @@
 	restartTime = 10 * time.Second
 )
 
-// Running knows which requests of this node run on which replica. Its size is
+// ActiveRuns knows which requests of this node run on which replica. Its size is
 // bounded by the requests in flight and the replicas that crashed in the last
 // restartTime. It is safe for concurrent use.
-type Running struct {
+type ActiveRuns struct {
 	seed   maphash.Seed
 	shards [runningShards]runningShard
 
@@ -46,9 +46,9 @@
 	alone       bool
 }
 
-// NewRunning returns an empty set.
-func NewRunning() *Running {
-	r := &Running{seed: maphash.MakeSeed(), suspects: make(map[Fingerprint]bool)}
+// NewActiveRuns returns an empty set.
+func NewActiveRuns() *ActiveRuns {
+	r := &ActiveRuns{seed: maphash.MakeSeed(), suspects: make(map[Fingerprint]bool)}
 	for i := range r.shards {
 		r.shards[i].replicas = make(map[string]*replicaRuns)
 	}
@@ -58,7 +58,7 @@
 // Start adds a run. For a RunAlone verdict it fails where the replica runs
 // another suspect or the request itself runs elsewhere: the caller then takes
 // another replica or waits. Each run must be ended by Finish or Crash.
-func (r *Running) Start(replica string, fp Fingerprint, verdict Verdict) (*Run, bool) {
+func (r *ActiveRuns) Start(replica string, fp Fingerprint, verdict Verdict) (*Run, bool) {
 	run := &Run{Replica: replica, Fingerprint: fp, alone: verdict == RunAlone}
 	if run.alone && !r.claim(fp) {
 		return nil, false
@@ -80,7 +80,7 @@
 }
 
 // Finish ends a run that did not crash. Ending it again does nothing.
-func (r *Running) Finish(run *Run) {
+func (r *ActiveRuns) Finish(run *Run) {
 	s := r.shard(run.Replica)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +96,7 @@
 }
 
 // remove takes one run off its replica. The shard must be locked.
-func (r *Running) remove(on *replicaRuns, run *Run) {
+func (r *ActiveRuns) remove(on *replicaRuns, run *Run) {
 	delete(on.runs, run)
 	if on.suspect == run {
 		on.suspect = nil
@@ -107,7 +107,7 @@
 }
 
 // Answered tells that the replica has sent a byte of the run's answer.
-func (r *Running) Answered(run *Run) {
+func (r *ActiveRuns) Answered(run *Run) {
 	s := r.shard(run.Replica)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +120,7 @@
 // all runs on the replica, which it ends as well, or none where the crash is
 // known already: each run of a crashed replica reports it, the first is taken,
 // and a replica that has not answered since its last crash may still be down.
-func (r *Running) Crash(now time.Time, run *Run) []Fingerprint {
+func (r *ActiveRuns) Crash(now time.Time, run *Run) []Fingerprint {
 	s := r.shard(run.Replica)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +146,7 @@
 }
 
 // SuspectOn says whether a suspect runs on the replica.
-func (r *Running) SuspectOn(replica string) bool {
+func (r *ActiveRuns) SuspectOn(replica string) bool {
 	s := r.shard(replica)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +154,7 @@
 	return ok && on.suspect != nil
 }
 
-func (r *Running) claim(fp Fingerprint) bool {
+func (r *ActiveRuns) claim(fp Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.suspects[fp] {
@@ -164,13 +164,13 @@
 	return true
 }
 
-func (r *Running) release(fp Fingerprint) {
+func (r *ActiveRuns) release(fp Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.suspects, fp)
 }
 
-func (r *Running) shard(replica string) *runningShard {
+func (r *ActiveRuns) shard(replica string) *runningShard {
 	return &r.shards[maphash.String(r.seed, replica)%runningShards]
 }
 
--- a/internal/quarantine/running_test.go
+++ b/internal/quarantine/running_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestSuspectsRunApart(t *testing.T) {
-	running := NewRunning()
+	running := NewActiveRuns()
 	first, ok := running.Start("r1", 1, RunAlone)
 	if !ok {
 		t.Fatal("a suspect cannot run")
@@ -31,7 +31,7 @@
 }
 
 func TestCrashIsReportedOnce(t *testing.T) {
-	running := NewRunning()
+	running := NewActiveRuns()
 	a, _ := running.Start("r1", 1, Normal)
 	b, _ := running.Start("r1", 2, RunAlone)
 	if crashed := running.Crash(start, a); len(crashed) != 2 {
@@ -63,7 +63,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			running := NewRunning()
+			running := NewActiveRuns()
 			cause, _ := running.Start("r1", 1, Normal)
 			running.Crash(start, cause)
 			met, _ := running.Start("r1", 2, RunAlone)
--- a/internal/quarantine/schedule_test.go
+++ b/internal/quarantine/schedule_test.go
@@ -36,7 +36,7 @@
 type schedule struct {
 	random  *rand.Rand
 	tracker *Tracker
-	running *Running
+	running *ActiveRuns
 	now     time.Time
 	upAt    [scheduleReplicas]time.Time
 	waiting []*job
@@ -167,7 +167,7 @@
 		arrivals := rapid.Float64Range(0.1, 0.7).Draw(t, "arrivals")
 		s := &schedule{
 			random:  rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)),
-			tracker: NewTracker(0), running: NewRunning(), now: start,
+			tracker: NewTracker(0), running: NewActiveRuns(), now: start,
 			crashes: make(map[Fingerprint]int),
 		}
 		s.run(poisons, arrivals)
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -117,7 +117,7 @@
 // judgeDuties checks what the holders of the duties told the platform: by the rules of
 // fences, and that windows are reported again once all faults are over.
 func (w *world) judgeDuties() {
-	for _, broken := range w.duties.Judge.Broken() {
+	for _, broken := range w.duties.Judge.Violations() {
 		w.violate("duties: %s", broken)
 	}
 	if len(w.duties.Judge.Reports()) == 0 {
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w.duties.Judge.SetLate(lateDuties)
+	w.duties.Judge.SetLateRate(lateDuties)
 	dutiesAddress, err := w.listen(w.duties)
 	if err != nil {
 		return nil, err
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -28,7 +28,7 @@
 )
 
 // cloud has the judge take the reports.
-type cloud struct{ judge *dutytest.Judge }
+type cloud struct{ judge *dutytest.Checker }
 
 func (c cloud) Report(_ context.Context, term duty.Term, r usage.Report) error {
 	return c.judge.Report(term, r.Window, r.Requests)
@@ -38,7 +38,7 @@
 type fleet struct {
 	t     *testing.T
 	store *dutytest.Store
-	judge *dutytest.Judge
+	judge *dutytest.Checker
 	began time.Time
 	stops map[string]func()
 	runs  int
@@ -50,7 +50,7 @@
 
 func newFleet(t *testing.T, seed uint64, names ...string) *fleet {
 	f := &fleet{
-		t: t, store: dutytest.NewStore(seed), judge: dutytest.NewJudge(ttl, seed), began: time.Now(),
+		t: t, store: dutytest.NewStore(seed), judge: dutytest.NewChecker(ttl, seed), began: time.Now(),
 		meters: make(map[string]*usage.Meter), stops: make(map[string]func()), dead: make(map[string]bool),
 	}
 	for _, name := range names {
@@ -91,7 +91,7 @@
 	})
 	holder, err := duty.NewHolder(duty.Options{
 		Store: f.store, Key: "holder", Node: name, Process: process, TTL: ttl, Contends: func() bool { return true },
-		Works: []duty.Work{reporter}, Clock: f.clock, Rand: rand.New(rand.NewPCG(uint64(f.runs), 2)), Log: log, Registry: registry,
+		Tasks: []duty.Task{reporter}, Clock: f.clock, Rand: rand.New(rand.NewPCG(uint64(f.runs), 2)), Log: log, Registry: registry,
 	})
 	if err != nil {
 		f.t.Fatal(err)
@@ -126,7 +126,7 @@
 	}
 	f.store.Wait()
 	f.judge.Wait()
-	for _, broken := range f.judge.Broken() {
+	for _, broken := range f.judge.Violations() {
 		f.t.Error(broken)
 	}
 }
@@ -228,15 +228,15 @@
 		case 0:
 			f.store.SetFaults(dutytest.StoreFaults{Down: true, Lapse: random.IntN(2) == 0})
 		case 1:
-			f.store.SetFaults(dutytest.StoreFaults{LostPart: 0.5, LatePart: 0.5})
+			f.store.SetFaults(dutytest.StoreFaults{LostAnswerRate: 0.5, LateWriteRate: 0.5})
 		case 2:
 			f.store.SetFaults(dutytest.StoreFaults{})
-			f.judge.SetLate(random.Float64() / 2)
+			f.judge.SetLateRate(random.Float64() / 2)
 		case 3:
 			f.stops[name]()
 			f.start(name)
 		case 4:
-			f.judge.SetLate(0)
+			f.judge.SetLateRate(0)
 		}
 		time.Sleep(time.Duration(random.Int64N(int64(length))))
 	}
