--- a/internal/duty/dutytest/doc.go
+++ b/internal/duty/dutytest/doc.go
@@ -1,3 +1,3 @@
-// Package dutytest has stand-ins for tests of duties: the platform's store and what takes
-// the duties' calls, both in memory, with faults, and a judge of what the calls must keep.
+// Package dutytest has in-memory fakes for tests of duties: the platform's store and the
+// platform side of the duties' calls, both with faults, and checks of fencing.
 package dutytest
--- a/internal/duty/dutytest/judge.go
+++ b/internal/duty/dutytest/judge.go
@@ -11,7 +11,7 @@
 	"galenatrestle/internal/platform"
 )
 
-// Call is one call of a duty as it was carried out.
+// Call is a call that was applied.
 type Call struct {
 	Holder  string
 	Fence   int64
@@ -19,25 +19,25 @@
 	At      time.Time
 }
 
-// Checker takes calls as the platform does, by their fences, and notes what must not be.
-// It is safe for concurrent use.
+// Checker applies calls subject to their fencing tokens, as the platform does, and
+// records violations of the duties' guarantees. It is safe for concurrent use.
 type Checker struct {
-	// Lease is the time within which two holders may not act in turns.
+	// Lease is the time within which two holders may not act alternately.
 	Lease time.Duration
 
-	mu      sync.Mutex
-	highest map[string]int64
-	holders map[int64]string
-	calls   []Call
-	reports map[int64]map[string]int64
-	broken  []string
-	// LatePart of the calls is carried out later, without an answer.
-	latePart float64
+	mu         sync.Mutex
+	highest    map[string]int64
+	holders    map[int64]string
+	calls      []Call
+	reports    map[int64]map[string]int64
+	violations []string
+	// lateRate is the share of calls that are applied late and get no answer.
+	lateRate float64
 	random   *rand.Rand
 	waits    sync.WaitGroup
 }
 
-// NewChecker returns a judge.
+// NewChecker returns a checker without late calls.
 func NewChecker(lease time.Duration, seed uint64) *Checker {
 	return &Checker{
 		Lease: lease, highest: make(map[string]int64), holders: make(map[int64]string),
@@ -45,104 +45,106 @@
 	}
 }
 
-// SetLateRate has a part of the calls carried out some seconds later, unanswered.
+// SetLateRate sets the share of calls, from 0 to 1, that are applied some seconds late and
+// get no answer.
 func (j *Checker) SetLateRate(part float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.latePart = part
+	j.lateRate = part
 }
 
-// Wait waits until no call is outstanding.
+// Wait waits until all late calls are applied.
 func (j *Checker) Wait() { j.waits.Wait() }
 
-// Handle takes a call on the subject; done is what it does, under the judge's lock.
+// Handle applies a call on the subject by calling done, with the checker's lock held.
 func (j *Checker) Handle(term duty.Term, subject string, done func()) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.noteSender(term)
-	if j.random.Float64() < j.latePart {
+	j.checkSender(term)
+	if j.random.Float64() < j.lateRate {
 		after := time.Duration(j.random.Int64N(int64(lateFor)))
 		j.waits.Go(func() {
 			time.Sleep(after)
 			j.mu.Lock()
 			defer j.mu.Unlock()
-			// Nobody hears of a late call's end.
-			_ = j.carryOut(term, subject, done, false)
+			// No one waits for the result of a late call.
+			_ = j.apply(term, subject, done, false)
 		})
 		return platform.ErrUnavailable
 	}
-	return j.carryOut(term, subject, done, true)
+	return j.apply(term, subject, done, true)
 }
 
-// noteSender notes a fence that two holders send. The lock is held.
-func (j *Checker) noteSender(term duty.Term) {
+// checkSender records a violation if two holders use one fencing token. The caller holds
+// j.mu.
+func (j *Checker) checkSender(term duty.Term) {
 	if holder, known := j.holders[term.Fence]; known && holder != term.Holder {
-		j.note("fence %d is sent by %s and %s", term.Fence, holder, term.Holder)
+		j.violation("fencing token %d was used by %s and by %s", term.Fence, holder, term.Holder)
 	}
 	j.holders[term.Fence] = term.Holder
 }
 
-// carryOut does what the call asks, if its fence is not too low. The lock is held.
-func (j *Checker) carryOut(term duty.Term, subject string, done func(), sentNow bool) error {
+// apply runs the call unless its fencing token is too low. The caller holds j.mu.
+func (j *Checker) apply(term duty.Term, subject string, done func(), sentNow bool) error {
 	if term.Fence < j.highest[subject] {
 		return platform.ErrConflict
 	}
 	j.highest[subject] = term.Fence
 	if sentNow {
-		j.noteTurns(Call{Holder: term.Holder, Fence: term.Fence, Subject: subject, At: time.Now()})
+		j.checkAlternation(Call{Holder: term.Holder, Fence: term.Fence, Subject: subject, At: time.Now()})
 	}
 	done()
 	return nil
 }
 
-// noteTurns notes holders that act in the order A, B, A within the lease. The lock is
-// held.
-func (j *Checker) noteTurns(c Call) {
+// checkAlternation records a violation if holders act in the order A, B, A within Lease.
+// The caller holds j.mu.
+func (j *Checker) checkAlternation(c Call) {
 	other := false
 	for i := len(j.calls) - 1; i >= 0 && c.At.Sub(j.calls[i].At) < j.Lease; i-- {
 		switch {
 		case j.calls[i].Holder != c.Holder:
 			other = true
 		case other:
-			j.note("%s, another and %s again within %s", c.Holder, c.Holder, j.Lease)
+			j.violation("calls by %s, another holder and %s again within %s", c.Holder, c.Holder, j.Lease)
 			other = false
 		}
 	}
 	j.calls = append(j.calls, c)
 }
 
-// Report takes a report of usage of a window.
+// Report applies a usage report for a window.
 func (j *Checker) Report(term duty.Term, window int64, counts map[string]int64) error {
-	// A late call brings what was sent, whatever the sender does with its map since.
+	// A late call must apply what was sent, even if the caller changes its map.
 	sent := maps.Clone(counts)
 	return j.Handle(term, "usage", func() {
 		if before, told := j.reports[window]; told && !maps.Equal(before, sent) {
-			j.note("window %d is reported as %v and %v", window, before, sent)
+			j.violation("window %d was reported as %v and then as %v", window, before, sent)
 			return
 		}
 		j.reports[window] = sent
 	})
 }
 
-func (j *Checker) note(format string, args ...any) {
-	j.broken = append(j.broken, fmt.Sprintf(format, args...))
+func (j *Checker) violation(format string, args ...any) {
+	j.violations = append(j.violations, fmt.Sprintf(format, args...))
 }
 
-// Violations is what must not have been.
+// Violations returns the violations seen so far.
 func (j *Checker) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.broken
+	return j.violations
 }
 
-// Calls are the calls that were carried out when they were sent.
+// Calls returns the calls that were applied without delay.
 func (j *Checker) Calls() []Call {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]Call(nil), j.calls...)
 }
 
-// Reports are the reports that were taken, by window.
+// Reports returns the usage reports that were applied, by window.
 func (j *Checker) Reports() map[int64]map[string]int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/duty/dutytest/store.go
+++ b/internal/duty/dutytest/store.go
@@ -9,7 +9,7 @@
 	"galenatrestle/internal/platform"
 )
 
-// Store is the platform's store in memory. It is safe for concurrent use.
+// Store is an in-memory fake of the platform's store. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	revision int64
@@ -18,20 +18,20 @@
 	faults   StoreFaults
 	random   *rand.Rand
 	calls    int
-	// waits counts the writes that are made later.
+	// waits counts the delayed writes.
 	waits sync.WaitGroup
 }
 
-// StoreFaults are what may go wrong. The zero value is a store that is well.
+// StoreFaults are the faults to inject. The zero value injects none.
 type StoreFaults struct {
-	// Down refuses all calls; Lapse has the leases run out meanwhile.
+	// Down fails all calls; Lapse lets leases expire meanwhile.
 	Down, Lapse bool
-	// LostAnswerRate is the part of the writes whose answer is lost, LateWriteRate the part of
-	// these that are made a while later, if their conditions still hold.
+	// LostAnswerRate is the share of writes whose answer is lost. LateWriteRate is the
+	// share of these that are applied late, if their conditions still hold.
 	LostAnswerRate, LateWriteRate float64
 }
 
-// lateFor is how much later a late write is made at most.
+// lateFor is the longest delay of a late write or call.
 const lateFor = 6 * time.Second
 
 type entry struct {
@@ -51,14 +51,14 @@
 	}
 }
 
-// SetFaults sets what goes wrong from now on.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	for id, l := range s.leases {
 		if s.faults.Down && !s.faults.Lapse {
-			// Leases pause while the store is down.
+			// Leases do not expire while the store is down, unless Lapse is set.
 			l.ends = now.Add(l.ttl)
 			s.leases[id] = l
 		}
@@ -66,17 +66,18 @@
 	s.faults = f
 }
 
-// Calls is the number of calls that came.
+// Calls returns the number of calls received.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Wait waits until no write is outstanding.
+// Wait waits until all late writes are applied.
 func (s *Store) Wait() { s.waits.Wait() }
 
-// begin counts a call and ends the leases that have run out; the lock is held after it.
+// begin locks s.mu, counts a call and expires leases. It returns with s.mu locked, also
+// with an error.
 func (s *Store) begin() error {
 	s.mu.Lock()
 	s.calls++
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// end ends a lease and removes its keys. The lock is held.
+// end deletes a lease and its keys. The caller holds s.mu.
 func (s *Store) end(id int64) {
 	delete(s.leases, id)
 	for key, e := range s.entries {
@@ -184,7 +185,7 @@
 	return 0, platform.ErrUnavailable
 }
 
-// commit makes the transaction. The lock is held.
+// commit applies the transaction. The caller holds s.mu.
 func (s *Store) commit(t platform.Transaction) (int64, error) {
 	for _, c := range t.Conditions {
 		if s.entries[c.Key].Revision != c.Revision {
--- a/internal/duty/events.go
+++ b/internal/duty/events.go
@@ -5,7 +5,7 @@
 	"galenatrestle/internal/lease"
 )
 
-// gained tells that this node holds the duties from now on.
+// gained is logged when this node becomes the holder.
 type gained struct {
 	node  string
 	fence int64
@@ -22,7 +22,7 @@
 	return eventlog.Fields{"holder": e.node, "fence": e.fence}
 }
 
-// lost tells that this node does not hold the duties any more.
+// lost is logged when this node is no longer the holder.
 type lost struct {
 	node   string
 	fence  int64
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -14,16 +14,16 @@
 	"galenatrestle/internal/lease"
 )
 
-// Options are what a Holder works with.
+// Options configure a Holder.
 type Options struct {
 	Store Store
 	// Key is the lock's key in the store.
 	Key string
-	// Node is this node's name, Process one that no other run of it has.
+	// Node is this node's name. Process is unique to this run of the node.
 	Node, Process string
-	// TTL is how long a holder that fell silent keeps the others from the duties.
+	// TTL is how long a holder that fails keeps other nodes from taking over.
 	TTL time.Duration
-	// Contends says whether this node tries now, if the duties are free.
+	// Contends reports whether this node may try to become the holder now.
 	Contends func() bool
 	Tasks    []Task
 	Clock    boottime.Clock
@@ -32,19 +32,18 @@
 	Registry prometheus.Registerer
 }
 
-// Holder tries to hold the duties for as long as it runs.
+// Holder tries to become the holder of the duties while Run runs.
 type Holder struct {
 	options Options
 	lease   *lease.Holder
-	// works are those of the term in force.
+	// works counts the running tasks of the current term.
 	works sync.WaitGroup
-	// fence is the token of the term in force; zero: none is.
+	// fence is the fencing token of the current term; zero if there is none.
 	fence atomic.Int64
 }
 
-// settings are the times of the lease. A renewal may take as long as the store's slow
-// answers do; a gap between two looks at the clock is a pause only where it is long
-// against the lease, since a busy node's looks come late.
+// settings returns the lease settings. The call timeout allows for slow answers of the
+// store, and the pause bound for late clock checks on a busy node.
 func settings(ttl time.Duration) lease.Settings {
 	s := lease.DefaultSettings(ttl)
 	s.CallTimeout = ttl / 4
@@ -52,7 +51,7 @@
 	return s
 }
 
-// NewHolder returns a holder that tries from Run on.
+// NewHolder returns a holder that does nothing until Run.
 func NewHolder(options Options) (*Holder, error) {
 	metrics, err := lease.NewMetrics(options.Registry)
 	if err != nil {
@@ -70,13 +69,13 @@
 	return h, nil
 }
 
-// Fence is the token of the duties that this node holds; zero: it holds none.
+// Fence returns the current term's fencing token, or zero if this node is not the holder.
 func (h *Holder) Fence() int64 { return h.fence.Load() }
 
-// Run tries for the duties and does their work until ctx ends.
+// Run tries to become the holder and runs the tasks of each term, until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
 	if err := h.lease.Run(ctx); err != nil {
-		// The lease runs out by itself.
+		// The lease expires by itself.
 		h.options.Log.Error("release duties", err)
 	}
 }
--- a/internal/duty/holder_test.go
+++ b/internal/duty/holder_test.go
@@ -22,13 +22,13 @@
 
 const ttl = 3 * time.Second
 
-// actor calls the platform again and again while it is the holder.
+// actor calls the platform repeatedly while its node is the holder.
 type actor struct{ judge *dutytest.Checker }
 
 func (a actor) Run(ctx context.Context, term duty.Term) {
 	for ctx.Err() == nil {
 		if term.Held() {
-			// What the platform says the judge notes.
+			// The checker records the outcome.
 			_ = a.judge.Handle(term, "subject", func() {})
 		}
 		if ctxtime.Sleep(ctx, 100*time.Millisecond) != nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-// cutStore is the store as one node reaches it.
+// cutStore is one node's connection to the store, which can be cut.
 type cutStore struct {
 	duty.Store
 	cut func() bool
@@ -57,7 +57,7 @@
 	return s.Store.Renew(ctx, id)
 }
 
-// fleet is some nodes that try for one duty, inside a synctest bubble.
+// fleet is a set of nodes that contend for one duty, inside a synctest bubble.
 type fleet struct {
 	t     *testing.T
 	store *dutytest.Store
@@ -71,14 +71,13 @@
 	cut map[string]bool
 }
 
-// isCut says whether the node is cut off from the store.
 func (f *fleet) isCut(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cut[name]
 }
 
-// setCut cuts the node off from the store, or connects it again.
+// setCut cuts or restores the node's connection to the store.
 func (f *fleet) setCut(name string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -113,13 +112,13 @@
 	}()
 }
 
-// stop ends a node as planned.
+// stop shuts a node down gracefully.
 func (f *fleet) stop(name string) {
 	f.stops[name]()
 	<-f.done[name]
 }
 
-// finish stops all nodes and reports what the judge saw.
+// finish stops all nodes and reports the checker's violations.
 func (f *fleet) finish() {
 	f.store.SetFaults(dutytest.StoreFaults{})
 	for name := range f.stops {
@@ -132,7 +131,7 @@
 	}
 }
 
-// holderAt is who called last.
+// holder returns the node that made the last call.
 func (f *fleet) holder() string {
 	calls := f.judge.Calls()
 	if len(calls) == 0 {
@@ -141,7 +140,7 @@
 	return calls[len(calls)-1].Holder
 }
 
-// lastCall is how long ago that was.
+// lastCall returns the time since the last call.
 func (f *fleet) lastCall() time.Duration {
 	calls := f.judge.Calls()
 	if len(calls) == 0 {
@@ -150,7 +149,7 @@
 	return time.Since(calls[len(calls)-1].At)
 }
 
-func TestAHolderThatIsCutOffIsFollowedAndSilent(t *testing.T) {
+func TestCutOffHolderStopsAndIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1)
 		f.start("a")
@@ -158,18 +157,18 @@
 		time.Sleep(5 * time.Second)
 		first := f.holder()
 		if first == "" {
-			t.Fatal("nobody holds the duty after 5 s")
+			t.Fatal("no node became the holder within 5 s")
 		}
 		f.setCut(first, true)
 		time.Sleep(2 * ttl)
 		if second := f.holder(); second == first || f.lastCall() > time.Second {
-			t.Errorf("%s after %s was cut off from the store for %s; last call %s ago", second, first, 2*ttl, f.lastCall())
+			t.Errorf("last call by %s, %s was cut off from the store for %s; last call %s ago", second, first, 2*ttl, f.lastCall())
 		}
 		f.finish()
 	})
 }
 
-func TestAPlannedStopHandsOnAtOnce(t *testing.T) {
+func TestGracefulStopHandsOverAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1)
 		f.start("a")
@@ -179,7 +178,7 @@
 		f.stop(first)
 		time.Sleep(ttl / 2)
 		if f.holder() == first {
-			t.Errorf("nobody followed %s within %s", first, ttl/2)
+			t.Errorf("no node took over from %s within %s", first, ttl/2)
 		}
 		f.start(first)
 		time.Sleep(ttl)
@@ -187,9 +186,9 @@
 	})
 }
 
-// TestHoldersThatStopSoonDoNotTakeTurns stops each holder right after its first call: the
-// one before may not act again within the lease.
-func TestHoldersThatStopSoonDoNotTakeTurns(t *testing.T) {
+// Stops each holder right after its first call: the previous holder may not act again
+// within the lease.
+func TestShortTermsDoNotAlternate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1)
 		for _, name := range []string{"a", "b", "c"} {
@@ -209,18 +208,18 @@
 	})
 }
 
-// TestNoFenceComesTwice has the leases lapse in outages of the store, and answers of
-// writes get lost or the writes made late, in random turns.
-func TestNoFenceComesTwice(t *testing.T) {
+// Lets leases lapse in store outages, and loses the answers of writes or delays the
+// writes, in random order: no two terms may get the same fencing token.
+func TestFencingTokensAreUnique(t *testing.T) {
 	for seed := range uint64(200) {
-		synctest.Test(t, func(t *testing.T) { playRandomFaults(t, seed) })
+		synctest.Test(t, func(t *testing.T) { runRandomFaults(t, seed) })
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 	}
 }
 
-func playRandomFaults(t *testing.T, seed uint64) {
+func runRandomFaults(t *testing.T, seed uint64) {
 	f := newFleet(t, seed)
 	random := rand.New(rand.NewPCG(seed, 3))
 	names := []string{"a", "b", "c"}
--- a/internal/duty/lock.go
+++ b/internal/duty/lock.go
@@ -12,36 +12,36 @@
 	"galenatrestle/internal/platform"
 )
 
-// holderRecord is the value of a lock's key.
+// holderRecord is the JSON value of a lock's key.
 type holderRecord struct {
 	Holder string `json:"holder"`
-	// Lease is the store's lease under which the key lives.
+	// Lease is the store's lease to which the key is attached.
 	Lease int64 `json:"lease"`
 }
 
-// Lock is a named lease made of a key under a lease of the store. Its epoch is the
-// store's revision of the key's creation, which no other grant ever has, also where all
-// leases have lapsed. It implements lease.Store and is safe for concurrent use.
+// Lock implements named leases with a key attached to a lease of the store. The epoch of
+// a grant is the revision that wrote the key, which is never reused, even after all
+// leases have lapsed. Lock implements lease.Store and is safe for concurrent use.
 type Lock struct {
 	store Store
 	clock boottime.Clock
-	// contends says whether to ask the store at all.
+	// contends reports whether to try at all.
 	contends func() bool
 
 	mu sync.Mutex
-	// grants are this process's newest grants, by the lock's name.
+	// grants are this process's newest grants, by lock name.
 	grants map[string]grant
 }
 
-// grant is a lease of the store that was taken for an epoch.
+// grant is the store's lease under which an epoch was granted.
 type grant struct {
 	epoch int64
 	lease int64
 	since boottime.Instant
 }
 
-// NewLock returns a lock in the store. While contends says no, the lock counts as held by
-// another without a call of the store.
+// NewLock returns a lock in the store. While contends returns false, Acquire reports the
+// lock as held by another without calling the store.
 func NewLock(store Store, clock boottime.Clock, contends func() bool) *Lock {
 	return &Lock{store: store, clock: clock, contends: contends, grants: make(map[string]grant)}
 }
@@ -67,13 +67,13 @@
 	if err != nil {
 		return platform.Lease{}, fmt.Errorf("record of %s: %w", name, err)
 	}
-	// A grant whose answer was lost is replaced by this one, with a newer epoch.
+	// If the answer to an earlier commit was lost, this one replaces that grant.
 	epoch, err := l.store.Commit(ctx, platform.Transaction{
 		Conditions: []platform.Condition{{Key: name, Revision: current.Epoch}},
 		Writes:     []platform.Write{{Key: name, Value: value, Lease: id}},
 	})
 	if errors.Is(err, platform.ErrConflict) {
-		// The lease that is of no use ends by itself where this call fails.
+		// If this call fails, the unused lease expires by itself.
 		return platform.Lease{}, errors.Join(&platform.HeldError{Current: platform.Lease{Name: name}}, l.store.End(ctx, id))
 	}
 	if err != nil {
@@ -85,7 +85,7 @@
 	return platform.Lease{Name: name, Holder: holder, Epoch: epoch, TTL: ttl}, nil
 }
 
-// current is the grant that the store has now; empty: none.
+// current returns the grant in the store, or the zero Lease if there is none.
 func (l *Lock) current(ctx context.Context, name string) (platform.Lease, error) {
 	entry, err := l.store.Get(ctx, name)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -110,9 +110,9 @@
 	return granted, l.store.Renew(ctx, g.lease)
 }
 
-// Release implements lease.Store. A grant that is younger than its time to live is left
-// to lapse: else the holder before could come back at once, and two nodes would act in
-// turns within that time.
+// Release implements lease.Store. A grant younger than its TTL is left to expire:
+// otherwise the previous holder could return at once, and two nodes could act
+// alternately within one TTL.
 func (l *Lock) Release(ctx context.Context, granted platform.Lease) error {
 	g, ok := l.grant(granted)
 	if !ok || l.clock().Sub(g.since) < granted.TTL {
@@ -125,7 +125,7 @@
 	return err
 }
 
-// grant is this process's grant of the lease, if it is its newest one.
+// grant returns this process's grant of the lease, if that is still its newest.
 func (l *Lock) grant(granted platform.Lease) (grant, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/duty/store.go
+++ b/internal/duty/store.go
@@ -7,15 +7,15 @@
 	"galenatrestle/internal/platform"
 )
 
-// Store is what duties need of the platform's store. Reads are linearizable.
+// Store is the part of the platform's store that duties use. Reads are linearizable.
 type Store interface {
 	// Get returns the key's entry, or platform.ErrNotFound.
 	Get(ctx context.Context, key string) (platform.Entry, error)
-	// Grant takes a lease, Renew extends it, End ends it; platform.ErrNotFound says that
-	// it has ended.
+	// Grant creates a lease, Renew extends it and End revokes it. Renew and End return
+	// platform.ErrNotFound if it has ended.
 	Grant(ctx context.Context, ttl time.Duration) (lease int64, err error)
 	Renew(ctx context.Context, lease int64) error
 	End(ctx context.Context, lease int64) error
-	// Commit makes the transaction and returns its revision, or platform.ErrConflict.
+	// Commit applies the transaction and returns its revision, or platform.ErrConflict.
 	Commit(ctx context.Context, t platform.Transaction) (revision int64, err error)
 }
--- a/internal/duty/term.go
+++ b/internal/duty/term.go
@@ -2,19 +2,19 @@
 
 import "context"
 
-// Term is one node's time as the holder.
+// Term is the time for which one node is the holder.
 type Term struct {
-	// Holder is the node's name, Fence the token of all that it does.
+	// Holder is the node's name, Fence the fencing token of its calls.
 	Holder string
 	Fence  int64
-	// Held says whether it may act at this moment: it is exact also directly after a
-	// pause of the process.
+	// Held reports whether the node may act now. It is exact even directly after a pause
+	// of the process.
 	Held func() bool
-	// Key is the key whose revision is Fence for as long as no other node holds it.
+	// Key is the store's key whose revision is Fence until another node takes over.
 	Key string
 }
 
-// Task is what a holder does. Run returns when ctx ends, at the latest.
+// Task runs on the holder. Run must return when ctx ends, or earlier.
 type Task interface {
 	Run(ctx context.Context, term Term)
 }
--- a/internal/lease/contract_test.go
+++ b/internal/lease/contract_test.go
@@ -6,7 +6,7 @@
 	"galenatrestle/internal/order"
 )
 
-// What holds duties elsewhere fits what this package gives.
+// Checks at compile time that the types fit the interfaces of their users.
 var (
 	_ claim.Term     = (*lease.Term)(nil)
 	_ lease.Observer = (*order.Sender)(nil)
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,9 +1,7 @@
-// Package lease holds the platform's named leases for a process: it acquires
-// and renews them and says, by this process's own clock, whether they may
-// still be acted on.
+// Package lease acquires and renews the platform's named leases for a process
+// and decides, by the process's own clock, whether they may still be acted on.
 //
-// The lease is hard state in the platform; here is one Term for each lease
-// held, with its epoch. In a platform outage a term ends by itself, Margin
-// before the platform's lease can end, and nothing is held until the platform
-// answers again. A process that was paused drops its terms when it wakes.
+// Each lease held is a Term with its epoch; the lease itself is hard state in
+// the platform. In a platform outage a term ends without a call, Margin before
+// the platform's lease can end. A term also ends after a pause of the process.
 package lease
--- a/internal/lease/fixture_test.go
+++ b/internal/lease/fixture_test.go
@@ -18,13 +18,12 @@
 	duty = "duty"
 )
 
-// cutStore is a process's way to the platform, which can be cut.
+// cutStore simulates one process's connection to the platform, which can be cut.
 type cutStore struct {
 	*memstore.Store
 	cut atomic.Bool
 }
 
-// Acquire fails where the way is cut.
 func (c *cutStore) Acquire(ctx context.Context, name, holder string, ttl time.Duration) (platform.Lease, error) {
 	if c.cut.Load() {
 		return platform.Lease{}, platform.ErrUnavailable
@@ -32,7 +31,6 @@
 	return c.Store.Acquire(ctx, name, holder, ttl)
 }
 
-// Renew fails where the way is cut.
 func (c *cutStore) Renew(ctx context.Context, lease platform.Lease) (platform.Lease, error) {
 	if c.cut.Load() {
 		return platform.Lease{}, platform.ErrUnavailable
@@ -45,17 +43,15 @@
 	store  *cutStore
 	holder *Holder
 	jump   atomic.Int64
-	// gained and lost are the terms that its callbacks told of.
+	// gained and lost are the epoch and reason of the last callbacks.
 	gained atomic.Int64
 	lost   atomic.Value
 	stop   context.CancelFunc
 	ended  chan error
 }
 
-// now is the process's clock.
 func (p *process) now() time.Time { return time.Now().Add(time.Duration(p.jump.Load())) }
 
-// held is what the process believes.
 func (p *process) held() (int64, bool) { return p.holder.Held(p.now()) }
 
 // startProcess runs a contender until the test ends.
@@ -64,7 +60,8 @@
 	return startPreferring(t, store, name, always)
 }
 
-// startPreferring is startProcess for one that is preferred at times.
+// startPreferring is startProcess with a function that says whether the process
+// is preferred.
 func startPreferring(t *testing.T, store *memstore.Store, name string, preferred func() bool) *process {
 	t.Helper()
 	p := &process{store: &cutStore{Store: store}, ended: make(chan error, 1)}
--- a/internal/lease/grant.go
+++ b/internal/lease/grant.go
@@ -11,50 +11,51 @@
 
 // The reasons.
 const (
-	// EndLapsed: no renewal was answered in time.
+	// EndLapsed: no renewal succeeded in time.
 	EndLapsed EndReason = "lapsed"
 	// EndPaused: this process did not run for longer than PauseBound.
 	EndPaused EndReason = "paused"
-	// EndTaken: the platform says that the lease is lost.
+	// EndTaken: the platform reports that the lease is lost.
 	EndTaken EndReason = "taken"
-	// EndReleased: it was given up.
+	// EndReleased: this process released the lease.
 	EndReleased EndReason = "released"
 )
 
-// grant is what this process knows of a lease, decided purely on the times it
-// is told. Once ended it stays ended.
+// grant is the local state of a lease. It reads no clock: all times are
+// arguments. A grant that has ended stays ended.
 type grant struct {
 	lease platform.Lease
-	// asked is when the newest answered call was sent: the platform can't have
+	// asked is when the newest successful call was sent: the platform can't have
 	// counted TTL from an earlier moment.
 	asked time.Time
-	// looked is the newest look at the clock.
-	looked time.Time
-	end    EndReason
+	// checkedAt is the time of the newest check.
+	checkedAt time.Time
+	end       EndReason
 }
 
 // newGrant returns the grant of a call sent at asked and answered at now.
 func newGrant(s Settings, lease platform.Lease, asked, now time.Time) grant {
-	g := grant{lease: lease, asked: asked, looked: now}
-	g.look(s, now)
+	g := grant{lease: lease, asked: asked, checkedAt: now}
+	g.check(s, now)
 	return g
 }
 
-// look notes a look at the clock and tells whether the lease may be acted on.
-func (g *grant) look(s Settings, now time.Time) bool {
+// check records a reading of the clock and reports whether the lease may be
+// acted on.
+func (g *grant) check(s Settings, now time.Time) bool {
 	switch {
 	case g.end != "":
-	case elapsed(g.looked, now) > s.PauseBound:
+	case elapsed(g.checkedAt, now) > s.PauseBound:
 		g.end = EndPaused
 	case elapsed(g.asked, now) >= s.usable():
 		g.end = EndLapsed
 	}
-	g.looked = now
+	g.checkedAt = now
 	return g.end == ""
 }
 
-// renewed notes the answer to a renewal sent at asked.
-func (g *grant) renewed(asked time.Time) {
+// extend records a successful renewal that was sent at asked.
+func (g *grant) extend(asked time.Time) {
 	if asked.After(g.asked) {
 		g.asked = asked
 	}
@@ -67,15 +68,14 @@
 	}
 }
 
-// left is the time until the grant ends by itself.
-func (g *grant) left(s Settings, now time.Time) time.Duration {
+// remaining returns the time until the grant ends without a renewal.
+func (g *grant) remaining(s Settings, now time.Time) time.Duration {
 	return s.usable() - elapsed(g.asked, now)
 }
 
-// elapsed is the time between two looks: the monotonic clock's, or the wall
-// clock's where that is longer, since the monotonic one may stand still while
-// a machine is suspended. A wall clock that is set forward ends a term early,
-// which is harmless.
+// elapsed returns the longer of the monotonic and the wall clock's difference,
+// since the monotonic clock may stop while a machine is suspended. A wall clock
+// that is set forward ends a term early, which is safe.
 func elapsed(from, to time.Time) time.Duration {
 	return max(to.Sub(from), to.Round(0).Sub(from.Round(0)))
 }
--- a/internal/lease/grant_test.go
+++ b/internal/lease/grant_test.go
@@ -10,42 +10,42 @@
 func TestGrant(t *testing.T) {
 	settings := DefaultSettings(16 * time.Second)
 	asked := time.Now()
-	// wall is a time of which only the wall clock is known.
+	// wall returns a time without a monotonic reading.
 	wall := func(after time.Duration) time.Time { return asked.Round(0).Add(after) }
 	tests := []struct {
-		name  string
-		looks []time.Duration
-		last  time.Time
-		want  EndReason
+		name   string
+		checks []time.Duration
+		last   time.Time
+		want   EndReason
 	}{
-		{name: "in force", looks: []time.Duration{time.Second}, last: asked.Add(2 * time.Second)},
-		{name: "looks up to the bound", last: asked.Add(settings.PauseBound)},
+		{name: "in force", checks: []time.Duration{time.Second}, last: asked.Add(2 * time.Second)},
+		{name: "a gap up to the bound", last: asked.Add(settings.PauseBound)},
 		{name: "a gap over the bound", last: asked.Add(settings.PauseBound + 1), want: EndPaused},
 		{name: "a gap over the bound by the wall clock", last: wall(settings.PauseBound + 1), want: EndPaused},
-		{name: "up to the bound by the wall clock", last: wall(settings.PauseBound)},
-		{name: "just usable", looks: looksUntil(settings.usable()), last: asked.Add(settings.usable() - 1)},
-		{name: "margin reached", looks: looksUntil(settings.usable()), last: asked.Add(settings.usable()), want: EndLapsed},
-		{name: "no way back", looks: []time.Duration{time.Minute}, last: asked, want: EndPaused},
+		{name: "a gap up to the bound by the wall clock", last: wall(settings.PauseBound)},
+		{name: "just usable", checks: checksUntil(settings.usable()), last: asked.Add(settings.usable() - 1)},
+		{name: "margin reached", checks: checksUntil(settings.usable()), last: asked.Add(settings.usable()), want: EndLapsed},
+		{name: "an ended grant stays ended", checks: []time.Duration{time.Minute}, last: asked, want: EndPaused},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := newGrant(settings, platform.Lease{Epoch: 1}, asked, asked)
-			for _, look := range test.looks {
-				g.look(settings, asked.Add(look))
+			for _, check := range test.checks {
+				g.check(settings, asked.Add(check))
 			}
-			if held := g.look(settings, test.last); held != (test.want == "") || g.end != test.want {
+			if held := g.check(settings, test.last); held != (test.want == "") || g.end != test.want {
 				t.Errorf("held %v, ended %q, want %q", held, g.end, test.want)
 			}
 		})
 	}
 }
 
-// looksUntil gives a look each second until the end.
-func looksUntil(end time.Duration) (looks []time.Duration) {
+// checksUntil returns one check for each second until end.
+func checksUntil(end time.Duration) (checks []time.Duration) {
 	for at := time.Second; at < end; at += time.Second {
-		looks = append(looks, at)
+		checks = append(checks, at)
 	}
-	return looks
+	return checks
 }
 
 func TestSettingsCheck(t *testing.T) {
--- a/internal/lease/held.go
+++ b/internal/lease/held.go
@@ -7,11 +7,12 @@
 	"galenatrestle/internal/platform"
 )
 
-// Held returns the leases whose terms are in force in this process, by name.
+// Held returns the leases whose terms are in force in this process, sorted by
+// name.
 func (s *Source) Held() []platform.Lease {
 	now := s.now()
 	var held []platform.Lease
-	for _, term := range s.open() {
+	for _, term := range s.openTerms() {
 		if term.Held(now) {
 			held = append(held, term.lease)
 		}
@@ -20,7 +21,7 @@
 	return held
 }
 
-func (s *Source) open() []*Term {
+func (s *Source) openTerms() []*Term {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	terms := make([]*Term, 0, len(s.terms))
@@ -30,13 +31,13 @@
 	return terms
 }
 
-func (s *Source) opened(t *Term) {
+func (s *Source) addTerm(t *Term) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.terms[t] = struct{}{}
 }
 
-func (s *Source) forget(t *Term) {
+func (s *Source) removeTerm(t *Term) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.terms, t)
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -9,52 +9,53 @@
 	"galenatrestle/internal/ctxtime"
 )
 
-// Callbacks tell of a holder's terms, one after the other and from one
-// goroutine. While one runs the lease goes on being renewed.
+// Callbacks are called one at a time, from one goroutine. The lease is renewed
+// while a callback runs.
 type Callbacks struct {
-	// OnGained is called at the start of a term; ctx ends with it. It must not
-	// block.
+	// OnGained is called at the start of a term; ctx is canceled at its end. It
+	// must not block.
 	OnGained func(ctx context.Context, epoch int64)
-	// OnLost is called at its end, after ctx has ended. In a planned stop the
-	// lease is released after OnLost returns, so it should wait until the
-	// duty's work has stopped.
+	// OnLost is called at the end of a term, after ctx is canceled. In a planned
+	// stop the lease is released after OnLost returns, so OnLost should wait until
+	// the work done under the lease has stopped.
 	OnLost func(epoch int64, reason EndReason)
-	// Observers are told of each term's renewals and looks.
+	// Observers are called for each term's renewals and clock checks.
 	Observers []Observer
 }
 
-// Holder tries to hold one named lease for as long as it runs.
+// Holder tries to hold one named lease while Run runs.
 type Holder struct {
 	source    *Source
 	name      string
 	callbacks Callbacks
 	random    *rand.Rand
-	// preferred says whether this process should be the first to try.
+	// preferred reports whether this process should try at every interval.
 	preferred func() bool
 
 	mu   sync.Mutex
 	term *Term
 }
 
-// NewHolder returns a holder; random is its own.
+// NewHolder returns a holder for the named lease. No one else may use random.
 func NewHolder(source *Source, name string, callbacks Callbacks, random *rand.Rand) *Holder {
 	return &Holder{source: source, name: name, callbacks: callbacks, random: random, preferred: always}
 }
 
 func always() bool { return true }
 
-// triesOfOthers is how many times rarer one that is not preferred tries.
-const triesOfOthers = 24
+// unpreferredTryFactor is how many times more rarely a process that is not
+// preferred tries to acquire the lease.
+const unpreferredTryFactor = 24
 
-// SetPreferred keeps the tries of many contenders few: while preferred says no, this
-// one tries triesOfOthers times more rarely, so that the lease is found a holder
-// also where the preferred process can't reach the platform. A term that is
-// held goes on either way. It is called before Run.
+// SetPreferred limits the calls of many contenders: while preferred returns
+// false, this one tries unpreferredTryFactor times more rarely. It still tries,
+// so that the lease finds a holder when the preferred process can't reach the
+// platform. A term in force is kept either way. Call it before Run.
 func (h *Holder) SetPreferred(preferred func() bool) { h.preferred = preferred }
 
-// tries says whether to try for the lease this time.
-func (h *Holder) tries() bool {
-	return h.preferred() || h.random.IntN(triesOfOthers) == 0
+// shouldTry reports whether to try to acquire the lease at this interval.
+func (h *Holder) shouldTry() bool {
+	return h.preferred() || h.random.IntN(unpreferredTryFactor) == 0
 }
 
 // Held returns the epoch of the term in force at now, and whether there is one.
@@ -68,29 +69,30 @@
 	return term.Epoch(), true
 }
 
-// Run tries for the lease and holds it until ctx ends; then it stops the duty
-// and hands the lease on. It returns the error of that release, or nil.
+// Run acquires and holds the lease until ctx ends, then calls OnLost and
+// releases it. It returns the error of that release, or nil.
 func (h *Holder) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if !h.tries() {
-			h.rest(ctx)
+		if !h.shouldTry() {
+			h.waitToRetry(ctx)
 			continue
 		}
 		term, err := h.source.Acquire(ctx, h.name, h.callbacks.Observers...)
 		if err == nil {
-			if err := h.serve(ctx, term); err != nil {
+			if err := h.runTerm(ctx, term); err != nil {
 				return err
 			}
 		}
-		h.rest(ctx)
+		h.waitToRetry(ctx)
 	}
 	return nil
 }
 
-// serve lives through a term. It returns the error of the release at ctx's end.
-func (h *Holder) serve(ctx context.Context, term *Term) error {
-	h.set(term)
-	defer h.set(nil)
+// runTerm runs the callbacks of one term and waits for its end. It returns the
+// error of the release when ctx ends.
+func (h *Holder) runTerm(ctx context.Context, term *Term) error {
+	h.setTerm(term)
+	defer h.setTerm(nil)
 	live, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	h.callbacks.OnGained(live, term.Epoch())
@@ -101,21 +103,20 @@
 		return nil
 	case <-ctx.Done():
 	}
-	h.set(nil)
+	h.setTerm(nil)
 	stop()
 	h.callbacks.OnLost(term.Epoch(), EndReleased)
 	return term.Release(context.WithoutCancel(ctx))
 }
 
-// set makes term the one in force.
-func (h *Holder) set(term *Term) {
+func (h *Holder) setTerm(term *Term) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.term = term
 }
 
-// rest waits half to one and a half of TryEvery.
-func (h *Holder) rest(ctx context.Context) {
+// waitToRetry waits for a random time of half to one and a half of TryEvery.
+func (h *Holder) waitToRetry(ctx context.Context) {
 	mean := h.source.settings.TryEvery
 	pause := mean/2 + time.Duration(h.random.Int64N(int64(mean)))
 	_ = ctxtime.Sleep(ctx, pause)
--- a/internal/lease/holder_test.go
+++ b/internal/lease/holder_test.go
@@ -9,7 +9,6 @@
 	"galenatrestle/internal/platform/memstore"
 )
 
-// inject turns a fault on.
 func inject(t *testing.T, s *memstore.Store, fault memstore.Fault) {
 	t.Helper()
 	if err := s.Inject(fault); err != nil {
@@ -17,7 +16,7 @@
 	}
 }
 
-// expect checks what a process believes.
+// expect checks the epoch that the process holds; 0 means none.
 func expect(t *testing.T, when string, p *process, epoch int64) {
 	t.Helper()
 	synctest.Wait()
@@ -26,7 +25,7 @@
 	}
 }
 
-// finish stops the processes within the bubble.
+// finish stops the processes and waits for them, within the synctest bubble.
 func finish(t *testing.T, processes ...*process) {
 	t.Helper()
 	for _, p := range processes {
@@ -64,7 +63,7 @@
 			}
 			if !held {
 				if !granted {
-					t.Error("stopped with no margin to the platform's end")
+					t.Error("stopped without a margin before the platform's lease ended")
 				}
 				break
 			}
@@ -72,7 +71,7 @@
 		}
 		synctest.Wait()
 		if p.lost.Load() != EndLapsed {
-			t.Errorf("lost as %v", p.lost.Load())
+			t.Errorf("lost with reason %v", p.lost.Load())
 		}
 		time.Sleep(4 * ttl)
 		expect(t, "after the outage", p, 2)
@@ -101,10 +100,10 @@
 		paused.jump.Add(int64(2 * ttl))
 		store.LapseLease(duty)
 		other := startProcess(t, store, "bb")
-		expect(t, "at the wake-up", paused, 0)
+		expect(t, "after the pause", paused, 0)
 		expect(t, "the other", other, 2)
 		if paused.lost.Load() != EndPaused {
-			t.Errorf("lost as %v", paused.lost.Load())
+			t.Errorf("lost with reason %v", paused.lost.Load())
 		}
 		time.Sleep(2 * ttl)
 		expect(t, "later", paused, 0)
@@ -117,14 +116,14 @@
 		store := memstore.New(memstore.Config{})
 		inject(t, store, memstore.Fault{Kind: memstore.LostAnswer, Factor: 1})
 		p := startProcess(t, store, "a")
-		expect(t, "granted but not known", p, 0)
+		expect(t, "granted, answer lost", p, 0)
 		if granted, held := store.Lease(duty); !held || granted.Epoch != 1 {
 			t.Errorf("the platform has %+v, %v", granted, held)
 		}
 		time.Sleep(ttl / 2)
-		expect(t, "asked again", p, 2)
+		expect(t, "after the next acquire", p, 2)
 		if p.gained.Load() != 2 {
-			t.Errorf("told of epoch %d", p.gained.Load())
+			t.Errorf("OnGained got epoch %d", p.gained.Load())
 		}
 		finish(t, p)
 	})
@@ -137,7 +136,7 @@
 		time.Sleep(time.Second)
 		inject(t, store, memstore.Fault{Kind: memstore.LostAnswer, For: ttl})
 		time.Sleep(ttl - time.Second)
-		expect(t, "renewed without knowing it", p, 0)
+		expect(t, "answers of renewals lost", p, 0)
 		time.Sleep(ttl)
 		if epoch, ok := p.held(); !ok || epoch < 2 {
 			t.Errorf("held %d, %v after the answers came back", epoch, ok)
@@ -154,7 +153,7 @@
 		inject(t, store, memstore.Fault{Kind: memstore.LeaseLapse})
 		time.Sleep(ttl / 4)
 		if p.lost.Load() != EndTaken {
-			t.Errorf("lost as %v", p.lost.Load())
+			t.Errorf("lost with reason %v", p.lost.Load())
 		}
 		time.Sleep(ttl)
 		expect(t, "later", p, 2)
@@ -177,13 +176,13 @@
 				inject(t, store, memstore.Fault{Kind: memstore.Slow, Factor: float64(slow / time.Millisecond)})
 				start := time.Now()
 				p := startProcess(t, store, "a")
-				// The answer comes, and no later one.
-				time.Sleep(sent + settings.lookEvery() + slow)
+				// This call is answered; all later ones fail.
+				time.Sleep(sent + settings.checkInterval() + slow)
 				p.store.cut.Store(true)
 				expect(t, "answered", p, 1)
 				time.Sleep(time.Until(start.Add(sent + settings.usable() - time.Millisecond)))
 				expect(t, "before the end", p, 1)
-				time.Sleep(settings.lookEvery() + time.Millisecond)
+				time.Sleep(settings.checkInterval() + time.Millisecond)
 				expect(t, "at the end", p, 0)
 				finish(t, p)
 			})
@@ -191,7 +190,7 @@
 	}
 }
 
-func TestAnswerAfterThePauseIsNoGrant(t *testing.T) {
+func TestGrantAnsweredAfterPauseIsUnusable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New(memstore.Config{})
 		inject(t, store, memstore.Fault{Kind: memstore.Slow, Factor: 1000, For: 2 * time.Second})
@@ -199,18 +198,18 @@
 		synctest.Wait()
 		p.jump.Add(int64(ttl))
 		time.Sleep(time.Second)
-		expect(t, "asked before the pause", p, 0)
+		expect(t, "acquire sent before the pause", p, 0)
 		if _, granted := store.Lease(duty); !granted {
 			t.Error("the platform did not grant")
 		}
 		time.Sleep(ttl)
-		expect(t, "asked again", p, 2)
+		expect(t, "after the next acquire", p, 2)
 		finish(t, p)
 	})
 }
 
 func TestTakeOver(t *testing.T) {
-	// tries is the longest time between two tries of one that waits.
+	// tries is the longest time between two tries of a waiting process.
 	tries := DefaultSettings(ttl).TryEvery * 3 / 2
 	tests := []struct {
 		name  string
--- a/internal/lease/metrics.go
+++ b/internal/lease/metrics.go
@@ -6,15 +6,15 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics counts grants, ends and failed calls of leases.
+// Metrics counts grants, ended terms and failed calls.
 type Metrics struct {
 	gained prometheus.Counter
 	ended  *prometheus.CounterVec
 	failed *prometheus.CounterVec
 }
 
-// NewMetrics registers the counters; a process's sources share them where they
-// share a registerer.
+// NewMetrics registers the counters. Sources with the same registerer share
+// them.
 func NewMetrics(register prometheus.Registerer) (*Metrics, error) {
 	m := &Metrics{
 		gained: prometheus.NewCounter(prometheus.CounterOpts{
@@ -31,17 +31,18 @@
 		}, []string{"step"}),
 	}
 	var first, second, third error
-	m.gained, first = registered(register, m.gained)
-	m.ended, second = registered(register, m.ended)
-	m.failed, third = registered(register, m.failed)
+	m.gained, first = registerOrReuse(register, m.gained)
+	m.ended, second = registerOrReuse(register, m.ended)
+	m.failed, third = registerOrReuse(register, m.failed)
 	if err := errors.Join(first, second, third); err != nil {
 		return nil, err
 	}
 	return m, nil
 }
 
-// registered registers the collector, or returns the one that is there.
-func registered[C prometheus.Collector](register prometheus.Registerer, collector C) (C, error) {
+// registerOrReuse registers the collector, or returns the one already
+// registered.
+func registerOrReuse[C prometheus.Collector](register prometheus.Registerer, collector C) (C, error) {
 	err := register.Register(collector)
 	var already prometheus.AlreadyRegisteredError
 	if !errors.As(err, &already) {
--- a/internal/lease/prefer_test.go
+++ b/internal/lease/prefer_test.go
@@ -10,8 +10,8 @@
 	"galenatrestle/internal/platform/memstore"
 )
 
-// startOthers runs n processes that are not preferred.
-func startOthers(t *testing.T, store *memstore.Store, n int) []*process {
+// startUnpreferred starts n processes that are not preferred.
+func startUnpreferred(t *testing.T, store *memstore.Store, n int) []*process {
 	t.Helper()
 	var all []*process
 	for i := range n {
@@ -20,31 +20,31 @@
 	return all
 }
 
-func TestOthersTryRarely(t *testing.T) {
+func TestUnpreferredTriesRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New(memstore.Config{})
-		all := append(startOthers(t, store, 29), startPreferring(t, store, "preferred", always))
+		all := append(startUnpreferred(t, store, 29), startPreferring(t, store, "preferred", always))
 		time.Sleep(2 * ttl)
 		before := store.Calls()[platform.CallAcquire].Calls
 		const lengths = 20
 		time.Sleep(lengths * ttl)
 		tries := store.Calls()[platform.CallAcquire].Calls - before
-		// Without a preference 29 waiting contenders make four tries a length.
+		// Without a preference each of the 29 contenders would try four times per TTL.
 		if bound := int64(lengths * 29 * 4 / 12); tries == 0 || tries > bound {
-			t.Errorf("%d tries for a held lease, want between 1 and %d", tries, bound)
+			t.Errorf("%d acquire calls for a held lease, want between 1 and %d", tries, bound)
 		}
 		finish(t, all...)
 	})
 }
 
-func TestOthersStepInWhereThePreferredIsCutOff(t *testing.T) {
+func TestUnpreferredTakesOverWhenPreferredIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New(memstore.Config{})
 		first := startPreferring(t, store, "preferred", always)
 		time.Sleep(ttl)
 		expect(t, "at first", first, 1)
 		first.store.cut.Store(true)
-		others := startOthers(t, store, 7)
+		others := startUnpreferred(t, store, 7)
 		time.Sleep(10 * ttl)
 		expect(t, "cut off", first, 0)
 		held := 0
--- a/internal/lease/random_test.go
+++ b/internal/lease/random_test.go
@@ -9,9 +9,9 @@
 	"galenatrestle/internal/platform/memstore"
 )
 
-// disturb does one random thing to the platform or to a process. It leaves out
-// LeaseLapse: a platform that breaks its own promise is met by fencing alone.
-func disturb(t *testing.T, random *rand.Rand, store *memstore.Store, processes []*process) {
+// injectRandomFault applies one random fault to the platform or to a process. It leaves
+// out LeaseLapse: only fencing protects against a platform that ends leases early.
+func injectRandomFault(t *testing.T, random *rand.Rand, store *memstore.Store, processes []*process) {
 	t.Helper()
 	p := processes[random.IntN(len(processes))]
 	length := time.Duration(1 + random.Int64N(int64(2*ttl)))
@@ -41,7 +41,7 @@
 			newest := int64(0)
 			for step := range 2000 {
 				if step%50 == 0 {
-					disturb(t, random, store, processes)
+					injectRandomFault(t, random, store, processes)
 				}
 				time.Sleep(ttl / 100)
 				synctest.Wait()
@@ -77,6 +77,6 @@
 	}
 	t.Logf("%d terms", terms)
 	if terms < 100 {
-		t.Errorf("only %d terms: the faults did not bite", terms)
+		t.Errorf("only %d terms: the faults ended too few terms", terms)
 	}
 }
--- a/internal/lease/settings.go
+++ b/internal/lease/settings.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Settings are the times of a lease.
+// Settings are the durations that govern a lease.
 type Settings struct {
-	// TTL is the length of the lease as the platform grants it.
+	// TTL is the lease's time to live in the platform.
 	TTL time.Duration
-	// Margin is how long before the end of TTL the holder stops, counted from
-	// the sending of the newest answered call. It covers the error of the two
-	// clocks' rates and the time to stop what runs.
+	// Margin is how long before the end of TTL the holder stops, where TTL counts
+	// from the sending of the newest successful call. It covers clock drift and the
+	// time to stop running work.
 	Margin time.Duration
 	// RenewEvery is the time from one renewal to the next.
 	RenewEvery time.Duration
-	// RetryEvery is the time from a failed renewal to the next.
+	// RetryEvery is the delay after a failed renewal.
 	RetryEvery time.Duration
 	// CallTimeout bounds one call to the platform.
 	CallTimeout time.Duration
-	// PauseBound is the longest gap between two looks at the clock that is not
-	// a pause.
+	// PauseBound is the longest gap between two checks of the clock that does not
+	// count as a pause of the process.
 	PauseBound time.Duration
-	// TryEvery is the mean time between the tries of one that waits for the
-	// lease; each is drawn from half to one and a half of it.
+	// TryEvery is the mean time between two tries to acquire the lease; each delay
+	// is drawn from half to one and a half of it.
 	TryEvery time.Duration
 }
 
-// DefaultSettings returns settings for a lease of the given length. A term
-// outlives failed renewals for about half of it.
+// DefaultSettings returns settings for a lease of the given TTL. A term
+// outlasts failed renewals for about half of it.
 func DefaultSettings(ttl time.Duration) Settings {
 	return Settings{
 		TTL:         ttl,
@@ -41,17 +41,16 @@
 	}
 }
 
-// looksPerPause is how often the clock is looked at within PauseBound.
-const looksPerPause = 4
+// checksPerPause is the number of clock checks within PauseBound.
+const checksPerPause = 4
 
-// lookEvery is the time between two looks at the clock.
-func (s Settings) lookEvery() time.Duration { return s.PauseBound / looksPerPause }
+func (s Settings) checkInterval() time.Duration { return s.PauseBound / checksPerPause }
 
-// usable is how long a grant may be acted on, from the sending of its call.
+// usable is how long a grant may be acted on after its call was sent.
 func (s Settings) usable() time.Duration { return s.TTL - s.Margin }
 
-// Check returns an error that names the setting that keeps a lease from being
-// held safely.
+// Check returns an error that names a setting with which a lease can't be held
+// safely.
 func (s Settings) Check() error {
 	for name, value := range map[string]time.Duration{
 		"TTL": s.TTL, "Margin": s.Margin, "RenewEvery": s.RenewEvery, "RetryEvery": s.RetryEvery,
@@ -62,7 +61,7 @@
 		}
 	}
 	if s.RenewEvery+s.CallTimeout >= s.usable() {
-		return fmt.Errorf("lease: a renewal after %s of up to %s comes too late for a lease usable for %s", s.RenewEvery, s.CallTimeout, s.usable())
+		return fmt.Errorf("lease: RenewEvery %s plus CallTimeout %s must be less than TTL minus Margin, %s", s.RenewEvery, s.CallTimeout, s.usable())
 	}
 	return nil
 }
--- a/internal/lease/source.go
+++ b/internal/lease/source.go
@@ -10,21 +10,20 @@
 	"galenatrestle/internal/platform"
 )
 
-// Store is the part of platform.Store that leases need.
+// Store is the part of platform.Store that leases use.
 type Store interface {
 	Acquire(ctx context.Context, name, holder string, ttl time.Duration) (platform.Lease, error)
 	Renew(ctx context.Context, lease platform.Lease) (platform.Lease, error)
 	Release(ctx context.Context, lease platform.Lease) error
 }
 
-// Observer is told of a term's grants and looks at the clock, as they happen;
-// its calls must not block.
+// Observer receives a term's events as they happen. Its methods must not block.
 type Observer interface {
-	// Renewed tells of an acquire or a renewal that was sent at asked.
+	// Renewed is called after a successful acquire or renewal that was sent at asked.
 	Renewed(lease platform.Lease, asked time.Time)
-	// Beat tells of a look at the clock that found the term in force.
+	// Beat is called after each clock check that found the term in force.
 	Beat()
-	// Lost tells that the term ended.
+	// Lost is called when the term has ended.
 	Lost()
 }
 
@@ -37,14 +36,14 @@
 	now      func() time.Time
 
 	mu sync.Mutex
-	// terms are those that this process holds.
+	// terms are the terms that have not ended.
 	terms map[*Term]struct{}
 }
 
-// NewSource returns a source. The holder names this run of this process: no
-// other process, nor an earlier run on the same VM, may use it, since the
-// platform grants a lease to the one that holds it already. now must carry the
-// monotonic clock, as time.Now does.
+// NewSource returns a source. The holder must be unique to this run of this
+// process, also among earlier runs on the same VM, since the platform grants a
+// lease again to its current holder. now must include a monotonic reading, as
+// time.Now does.
 func NewSource(store Store, holder string, settings Settings, metrics *Metrics, now func() time.Time) (*Source, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -52,13 +51,14 @@
 	return &Source{store: store, holder: holder, settings: settings, metrics: metrics, now: now, terms: make(map[*Term]struct{})}, nil
 }
 
-// errTooLate says that a grant's answer came when it was no longer usable.
-var errTooLate = errors.New("lease: the answer came too late to act on the grant")
+// errTooLate means that a grant was no longer usable when its answer arrived.
+var errTooLate = errors.New("lease: the grant was no longer usable when its answer arrived")
 
-// Acquire asks once for the lease and returns its term, which is renewed until
-// it ends or is released; ctx bounds the asking alone. It returns a *platform.HeldError where another has the lease. After
-// any other error the lease may have been granted, at an epoch that nobody
-// knows and nobody acts on; a later Acquire gets a newer one.
+// Acquire tries once to acquire the lease and returns its term, which is
+// renewed until it ends or is released; ctx bounds this call alone. It returns
+// a *platform.HeldError if another process holds the lease. After any other
+// error the lease may have been granted, at an epoch that no one acts on; a
+// later Acquire gets a newer one.
 func (s *Source) Acquire(ctx context.Context, name string, observers ...Observer) (*Term, error) {
 	const step = "acquire lease"
 	asked := s.now()
--- a/internal/lease/term.go
+++ b/internal/lease/term.go
@@ -17,14 +17,14 @@
 	observers []Observer
 	lease     platform.Lease
 	done      chan struct{}
-	// idle is closed when no call is under way any more.
+	// idle is closed when the term has ended and no renewal is in flight.
 	idle chan struct{}
 
 	mu    sync.Mutex
 	grant grant
 }
 
-// startTerm begins to renew a grant.
+// startTerm starts the renewal of a grant.
 func startTerm(source *Source, g grant, observers []Observer) *Term {
 	t := &Term{
 		source:    source,
@@ -34,43 +34,43 @@
 		idle:      make(chan struct{}),
 		grant:     g,
 	}
-	source.opened(t)
-	t.tellRenewed(g.asked)
-	go t.keep()
+	source.addTerm(t)
+	t.notifyRenewed(g.asked)
+	go t.renewLoop()
 	return t
 }
 
-// Epoch returns the fencing number of what is done in this term.
+// Epoch returns the term's fencing token.
 func (t *Term) Epoch() int64 { return t.lease.Epoch }
 
-// Done is closed when the term has ended here, Margin before the platform's
-// lease can end; after a pause, as soon as this process runs again.
+// Done is closed when the term has ended locally, Margin before the platform's
+// lease can end, or after a pause as soon as this process runs again.
 func (t *Term) Done() <-chan struct{} { return t.done }
 
-// Held tells whether the term may be acted on at now. It is exact also where
-// Done is not yet closed, as directly after a pause.
+// Held reports whether the term may be acted on at now. It is exact even while
+// Done is still open directly after a pause.
 func (t *Term) Held(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.grant.end != "" {
 		return false
 	}
-	if !t.grant.look(t.source.settings, now) {
-		t.closed()
+	if !t.grant.check(t.source.settings, now) {
+		t.closeLocked()
 		return false
 	}
 	return true
 }
 
-// EndReason tells why the term ended, or is empty.
+// EndReason returns why the term ended, or "" while it is in force.
 func (t *Term) EndReason() EndReason {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.grant.end
 }
 
-// Release ends the term here and then at the platform, for a planned stop. It
-// is safe to call after Done; an error means that the lease runs out by itself.
+// Release ends the term locally and then at the platform, for a planned stop.
+// It is safe to call after Done. After an error the lease expires by itself.
 func (t *Term) Release(ctx context.Context) error {
 	t.finish(EndReleased)
 	<-t.idle
@@ -89,33 +89,32 @@
 	defer t.mu.Unlock()
 	if t.grant.end == "" {
 		t.grant.finish(reason)
-		t.closed()
+		t.closeLocked()
 	}
 }
 
-// closed tells the end once; t.mu is held.
-func (t *Term) closed() {
-	t.source.forget(t)
+// closeLocked publishes the end of the term, once. The caller holds t.mu.
+func (t *Term) closeLocked() {
+	t.source.removeTerm(t)
 	t.source.metrics.ended.WithLabelValues(string(t.grant.end)).Inc()
 	close(t.done)
 }
 
-// answer is the outcome of a renewal.
-type answer struct {
+type renewalResult struct {
 	asked time.Time
 	err   error
 }
 
-// keep looks at the clock and renews until the term ends. The looks go on
-// while a renewal is under way.
-func (t *Term) keep() {
-	defer t.tellLost()
+// renewLoop checks the clock and renews until the term ends. Checks go on
+// while a renewal is in flight.
+func (t *Term) renewLoop() {
+	defer t.notifyLost()
 	defer close(t.idle)
 	ctx, cancel := context.WithCancel(context.Background())
-	answers := make(chan answer, 1)
+	answers := make(chan renewalResult, 1)
 	renewing := false
 	renewAt := t.grant.asked.Add(t.source.settings.RenewEvery)
-	timer := time.NewTimer(t.untilLook())
+	timer := time.NewTimer(t.untilCheck())
 	defer timer.Stop()
 	for {
 		select {
@@ -127,28 +126,29 @@
 			return
 		case got := <-answers:
 			renewing = false
-			renewAt = t.answered(got)
+			renewAt = t.handleRenewal(got)
 		case <-timer.C:
 			now := t.source.now()
-			if t.beat(now) && !renewing && !now.Before(renewAt) {
+			if t.checkInForce(now) && !renewing && !now.Before(renewAt) {
 				renewing = true
 				go func() { answers <- t.renew(ctx, now) }()
 			}
-			timer.Reset(t.untilLook())
+			timer.Reset(t.untilCheck())
 		}
 	}
 }
 
-// untilLook is the time to the next look: never past the term's end.
-func (t *Term) untilLook() time.Duration {
+// untilCheck returns the time to the next check, never past the term's end.
+func (t *Term) untilCheck() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.source.settings
-	return min(s.lookEvery(), t.grant.left(s, t.source.now()))
+	return min(s.checkInterval(), t.grant.remaining(s, t.source.now()))
 }
 
-// beat looks at the clock and tells whether the term is in force.
-func (t *Term) beat(now time.Time) bool {
+// checkInForce reports whether the term is in force at now, and if so calls
+// the observers.
+func (t *Term) checkInForce(now time.Time) bool {
 	if !t.Held(now) {
 		return false
 	}
@@ -158,16 +158,15 @@
 	return true
 }
 
-// renew sends one renewal.
-func (t *Term) renew(ctx context.Context, asked time.Time) answer {
+func (t *Term) renew(ctx context.Context, asked time.Time) renewalResult {
 	call, cancel := context.WithTimeout(ctx, t.source.settings.CallTimeout)
 	defer cancel()
 	_, err := t.source.store.Renew(call, t.lease)
-	return answer{asked: asked, err: err}
+	return renewalResult{asked: asked, err: err}
 }
 
-// answered notes a renewal's answer and returns when to send the next one.
-func (t *Term) answered(got answer) time.Time {
+// handleRenewal records a renewal's result and returns when to send the next.
+func (t *Term) handleRenewal(got renewalResult) time.Time {
 	s := t.source.settings
 	now := t.source.now()
 	if !t.Held(now) {
@@ -175,9 +174,9 @@
 	}
 	if got.err == nil {
 		t.mu.Lock()
-		t.grant.renewed(got.asked)
+		t.grant.extend(got.asked)
 		t.mu.Unlock()
-		t.tellRenewed(got.asked)
+		t.notifyRenewed(got.asked)
 		return got.asked.Add(s.RenewEvery)
 	}
 	t.source.metrics.failed.WithLabelValues(string(platform.CallRenew)).Inc()
@@ -187,21 +186,19 @@
 	return now.Add(s.RetryEvery)
 }
 
-// isLost tells whether the platform said that the lease is not ours any more.
+// isLost reports whether the platform no longer has the lease for this holder.
 func isLost(err error) bool {
 	var held *platform.HeldError
 	return errors.As(err, &held) || errors.Is(err, platform.ErrNotFound)
 }
 
-// tellRenewed tells the observers of a grant or renewal.
-func (t *Term) tellRenewed(asked time.Time) {
+func (t *Term) notifyRenewed(asked time.Time) {
 	for _, o := range t.observers {
 		o.Renewed(t.lease, asked)
 	}
 }
 
-// tellLost tells the observers of the end.
-func (t *Term) tellLost() {
+func (t *Term) notifyLost() {
 	for _, o := range t.observers {
 		o.Lost()
 	}
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -6,12 +6,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// recordBytes is the length of a record's form under its hash.
+// recordBytes is the size of a record's hashed encoding.
 const recordBytes = 5 * 8
 
-// Digest returns a digest of the records that does not depend on their order,
-// for peers to see cheaply whether they know the same. Two different sets with
-// one digest are told apart when either next changes.
+// Digest returns an order-independent digest of the records, with which peers
+// detect cheaply whether their sets are equal. A collision lasts only until
+// either set changes.
 func Digest(records []Record) uint64 {
 	var digest uint64
 	for i := range records {
@@ -20,7 +20,7 @@
 	return digest
 }
 
-// hash covers all fields, at the precision in which they travel.
+// hash covers all fields, at the precision of the wire format.
 func (r *Record) hash() uint64 {
 	form := make([]byte, 0, recordBytes)
 	form = binary.LittleEndian.AppendUint64(form, uint64(r.Fingerprint))
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,13 +1,13 @@
-// Package quarantine finds requests that crash the upstreams which run them.
+// Package quarantine detects requests that crash the upstreams that run them.
 //
-// A crash makes every request that ran on the replica a suspect. A suspect
-// runs again only where no other suspect runs, so that a second crash names
-// one of them: that one is quarantined for a bounded, growing time. A suspect
-// that finishes is cleared.
+// A crash makes every request that ran on the replica a suspect. A suspect is
+// retried only on a replica without another suspect, so that a second crash
+// identifies its cause, which is quarantined for a bounded time that grows at
+// each quarantine. A suspect that finishes is cleared.
 //
-// The decisions are pure: they take the time and start nothing. They hold soft
-// state only: at most Options.MaxRecords records under one lock, which a
-// request without any suspicion around does not take. Losing them costs a
-// further crash or two. Records spread between nodes by a merge that is
-// commutative and idempotent. A platform outage changes nothing here.
+// Decisions take the time as an argument and start no goroutines. All state is
+// soft: at most the tracker's limit of records under one lock, which is not
+// taken while there are no records. Losing it costs a further crash or two.
+// Nodes exchange records by a commutative and idempotent merge. A platform
+// outage has no effect here.
 package quarantine
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -6,11 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint identifies a request's content.
+// Fingerprint is a hash of a request's content.
 type Fingerprint uint64
 
 // FingerprintOf returns the fingerprint of a request. It includes the
-// workspace, so that a request can be quarantined only for its own workspace.
+// workspace, so that a quarantine applies to one workspace only.
 func FingerprintOf(workspace, model string, body []byte) Fingerprint {
 	digest := xxhash.New()
 	writePart(digest, []byte(workspace))
@@ -19,8 +19,8 @@
 	return Fingerprint(digest.Sum64())
 }
 
-// writePart adds the part and its length, so that no two lists of parts look
-// alike.
+// writePart writes the part after its length, so that the boundaries between
+// parts count.
 func writePart(digest *xxhash.Digest, part []byte) {
 	var length [8]byte
 	binary.LittleEndian.PutUint64(length[:], uint64(len(part)))
--- a/internal/quarantine/quarantinerpc/doc.go
+++ b/internal/quarantine/quarantinerpc/doc.go
@@ -1,8 +1,7 @@
-// Package quarantinerpc spreads the records of package quarantine between
-// nodes: each change goes to all peers once, and from time to time one peer,
-// drawn at random, is asked for everything.
+// Package quarantinerpc exchanges the records of package quarantine between
+// nodes. Each change is sent once to all peers, and at intervals each node
+// exchanges its full set with a random peer.
 //
-// It holds soft state only: at most maxPending records that wait to be sent.
-// What is lost on the way comes with the next exchange. A platform outage
-// changes nothing here.
+// All state is soft: at most maxPending records wait to be sent. Lost records
+// are sent again in the next full exchange. A platform outage has no effect here.
 package quarantinerpc
--- a/internal/quarantine/quarantinerpc/handler.go
+++ b/internal/quarantine/quarantinerpc/handler.go
@@ -12,7 +12,7 @@
 	"galenatrestle/internal/quarantine"
 )
 
-// handler merges what peers send.
+// handler merges records that peers send.
 type handler struct{ tracker *quarantine.Tracker }
 
 // NewHandler returns the path and the handler to mount on the peer listener.
--- a/internal/quarantine/quarantinerpc/spreader.go
+++ b/internal/quarantine/quarantinerpc/spreader.go
@@ -20,13 +20,13 @@
 	maxPending = 4096
 	// exchangeInterval is the time between two full exchanges.
 	exchangeInterval = 10 * time.Second
-	// callTimeout bounds one call of a peer.
+	// callTimeout bounds one call to a peer.
 	callTimeout = time.Second
 	// parallelCalls bounds the calls in flight.
 	parallelCalls = 16
 )
 
-// Dialer gives the HTTP clients for peers; *peer.Clients is one.
+// Dialer returns HTTP clients and URLs for peers; *peer.Clients implements it.
 type Dialer interface {
 	HTTPClient(address string) *http.Client
 	URL(address string) string
@@ -42,7 +42,7 @@
 	calls   *prometheus.CounterVec
 }
 
-// NewSpreader returns a spreader that Run starts.
+// NewSpreader returns a spreader that sends nothing until Run.
 func NewSpreader(tracker *quarantine.Tracker, peers func() []string, dialer Dialer, register prometheus.Registerer) *Spreader {
 	s := &Spreader{
 		tracker: tracker, peers: peers, dialer: dialer,
@@ -56,8 +56,8 @@
 	return s
 }
 
-// Offer queues changed records; where the queue is full they wait for the next
-// full exchange.
+// Offer queues changed records. Records that do not fit in the queue are sent
+// in the next full exchange.
 func (s *Spreader) Offer(records ...quarantine.Record) {
 	for _, r := range records {
 		select {
@@ -68,7 +68,7 @@
 	}
 }
 
-// Run sends until ctx ends.
+// Run sends queued records and exchanges full sets until ctx ends.
 func (s *Spreader) Run(ctx context.Context) {
 	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
@@ -85,7 +85,7 @@
 	}
 }
 
-// batch adds to the first record all that wait.
+// batch returns the first record and all that are queued.
 func (s *Spreader) batch(first quarantine.Record) []quarantine.Record {
 	records := []quarantine.Record{first}
 	for {
@@ -98,7 +98,7 @@
 	}
 }
 
-// send tells all peers of the records.
+// send sends the records to all peers.
 func (s *Spreader) send(ctx context.Context, records []quarantine.Record) {
 	message := &quarantinev1.ExchangeRequest{Records: ToProto(records)}
 	var group errgroup.Group
@@ -112,8 +112,8 @@
 	_ = group.Wait()
 }
 
-// exchange compares digests with one peer, and where they differ asks it for
-// everything and tells it everything.
+// exchange compares digests with one random peer and, if they differ, exchanges
+// all records with it.
 func (s *Spreader) exchange(ctx context.Context) {
 	addresses := s.peers()
 	if len(addresses) == 0 {
--- a/internal/quarantine/quarantinerpc/spreader_test.go
+++ b/internal/quarantine/quarantinerpc/spreader_test.go
@@ -18,8 +18,8 @@
 func (plainDialer) HTTPClient(string) *http.Client { return http.DefaultClient }
 func (plainDialer) URL(address string) string      { return "http://" + address }
 
-// served returns a tracker and the address at which peers reach it.
-func served(t *testing.T) (*quarantine.Tracker, string) {
+// serveTracker starts a handler and returns its tracker and address.
+func serveTracker(t *testing.T) (*quarantine.Tracker, string) {
 	t.Helper()
 	tracker := quarantine.NewTracker(0)
 	mux := http.NewServeMux()
@@ -47,8 +47,8 @@
 }
 
 func TestChangeReachesAllPeersButTheDead(t *testing.T) {
-	first, firstAddress := served(t)
-	second, secondAddress := served(t)
+	first, firstAddress := serveTracker(t)
+	second, secondAddress := serveTracker(t)
 	here := quarantine.NewTracker(0)
 	s := spreader(here, firstAddress, "127.0.0.1:1", secondAddress)
 	s.send(t.Context(), crashTwice(here, 7))
@@ -60,7 +60,7 @@
 }
 
 func TestExchangeGoesBothWays(t *testing.T) {
-	there, address := served(t)
+	there, address := serveTracker(t)
 	here := quarantine.NewTracker(0)
 	crashTwice(here, 1)
 	crashTwice(there, 2)
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestRecordSize measures what a record takes on the wire.
+// Bounds the size of a record on the wire.
 func TestRecordSize(t *testing.T) {
 	tracker := quarantine.NewTracker(0)
 	crashTwice(tracker, 1<<63)
@@ -97,10 +97,9 @@
 	}
 }
 
-// TestEqualSetsExchangeTheirDigestOnly counts the calls of an exchange between
-// nodes that know the same: one, and it carries no record.
+// Nodes with equal sets must exchange only a digest: one call, without records.
 func TestEqualSetsExchangeTheirDigestOnly(t *testing.T) {
-	there, address := served(t)
+	there, address := serveTracker(t)
 	here := quarantine.NewTracker(0)
 	crashTwice(here, 1)
 	crashTwice(there, 2)
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Record is what is known of one fingerprint. Records of one fingerprint merge
-// to their least upper bound, in any order and any number of times.
+// Record is the crash history of one fingerprint. Records of one fingerprint
+// merge to their least upper bound, in any order and any number of times.
 type Record struct {
 	Fingerprint Fingerprint
-	// LastCrash is when a replica last crashed under it.
+	// LastCrash is when a replica last crashed while running the request.
 	LastCrash time.Time
-	// Level is zero for a suspect and counts the quarantines otherwise.
+	// Level is the number of quarantines so far; zero for a suspect.
 	Level int
 	// Until is the end of the quarantine; zero for a suspect.
 	Until time.Time
-	// ClearedAt is when it last ran to its end.
+	// ClearedAt is when the request last finished.
 	ClearedAt time.Time
 }
 
@@ -28,7 +28,7 @@
 	return a
 }
 
-// crashBefore orders by the crash, then by how grave it was.
+// crashBefore orders records by crash time, then level, then end of quarantine.
 func (r Record) crashBefore(other Record) bool {
 	if !r.LastCrash.Equal(other.LastCrash) {
 		return r.LastCrash.Before(other.LastCrash)
@@ -39,7 +39,7 @@
 	return r.Until.Before(other.Until)
 }
 
-// verdict tells how the request may run now.
+// verdict returns how the request may run at now.
 func (r Record) verdict(now time.Time) Verdict {
 	switch {
 	case !r.ClearedAt.Before(r.LastCrash):
@@ -53,7 +53,7 @@
 	}
 }
 
-// expires is when the record says nothing any more.
+// expires returns when the record no longer has an effect.
 func (r Record) expires() time.Time {
 	if r.Until.After(r.LastCrash) {
 		return r.Until.Add(suspectFor)
--- a/internal/quarantine/running.go
+++ b/internal/quarantine/running.go
@@ -8,13 +8,13 @@
 
 const (
 	runningShards = 16
-	// restartTime is how long after a crash a replica that has not answered
-	// since is held to be still down: connections that break then are no
-	// evidence against the requests on them.
+	// restartTime is how long a replica that has not answered since its crash
+	// counts as still down: lost connections to it are no evidence against the
+	// requests on them.
 	restartTime = 10 * time.Second
 )
 
-// ActiveRuns knows which requests of this node run on which replica. Its size is
+// ActiveRuns tracks which requests of this node run on which replica. Its size is
 // bounded by the requests in flight and the replicas that crashed in the last
 // restartTime. It is safe for concurrent use.
 type ActiveRuns struct {
@@ -35,11 +35,11 @@
 type replicaRuns struct {
 	runs    map[*Run]struct{}
 	suspect *Run
-	// crashedAt is the last crash, zero once the replica has answered again.
+	// crashedAt is the time of the last crash, or zero once the replica has answered.
 	crashedAt time.Time
 }
 
-// Run is one attempt on a replica.
+// Run is one attempt to run a request on a replica.
 type Run struct {
 	Replica     string
 	Fingerprint Fingerprint
@@ -55,9 +55,9 @@
 	return r
 }
 
-// Start adds a run. For a RunAlone verdict it fails where the replica runs
-// another suspect or the request itself runs elsewhere: the caller then takes
-// another replica or waits. Each run must be ended by Finish or Crash.
+// Start adds a run. With RunAlone it returns false if the replica runs another
+// suspect or the request already runs elsewhere; the caller then tries another
+// replica or waits. Each run must be ended by Finish or Crash.
 func (r *ActiveRuns) Start(replica string, fp Fingerprint, verdict Verdict) (*Run, bool) {
 	run := &Run{Replica: replica, Fingerprint: fp, alone: verdict == RunAlone}
 	if run.alone && !r.claim(fp) {
@@ -68,7 +68,7 @@
 	defer s.mu.Unlock()
 	on := s.replica(replica)
 	if run.alone && on.suspect != nil {
-		s.tidy(replica)
+		s.removeIfIdle(replica)
 		r.release(fp)
 		return nil, false
 	}
@@ -79,7 +79,7 @@
 	return run, true
 }
 
-// Finish ends a run that did not crash. Ending it again does nothing.
+// Finish ends a run that did not crash. Further calls have no effect.
 func (r *ActiveRuns) Finish(run *Run) {
 	s := r.shard(run.Replica)
 	s.mu.Lock()
@@ -92,10 +92,10 @@
 		return
 	}
 	r.remove(on, run)
-	s.tidy(run.Replica)
+	s.removeIfIdle(run.Replica)
 }
 
-// remove takes one run off its replica. The shard must be locked.
+// remove removes a run from its replica. The caller holds the shard's lock.
 func (r *ActiveRuns) remove(on *replicaRuns, run *Run) {
 	delete(on.runs, run)
 	if on.suspect == run {
@@ -106,7 +106,7 @@
 	}
 }
 
-// Answered tells that the replica has sent a byte of the run's answer.
+// Answered records that the replica sent the first byte of the run's answer.
 func (r *ActiveRuns) Answered(run *Run) {
 	s := r.shard(run.Replica)
 	s.mu.Lock()
@@ -117,9 +117,9 @@
 }
 
 // Crash ends a run whose connection was lost. It returns the fingerprints of
-// all runs on the replica, which it ends as well, or none where the crash is
-// known already: each run of a crashed replica reports it, the first is taken,
-// and a replica that has not answered since its last crash may still be down.
+// all runs on the replica, which it ends as well. It returns none if the crash
+// is already known, since each run of a crashed replica reports it, or if the
+// replica may still be down from its last crash.
 func (r *ActiveRuns) Crash(now time.Time, run *Run) []Fingerprint {
 	s := r.shard(run.Replica)
 	s.mu.Lock()
@@ -141,11 +141,11 @@
 		r.remove(on, ended)
 	}
 	on.crashedAt = now
-	s.forget(now)
+	s.removeExpired(now)
 	return fingerprints
 }
 
-// SuspectOn says whether a suspect runs on the replica.
+// SuspectOn reports whether a suspect runs on the replica.
 func (r *ActiveRuns) SuspectOn(replica string) bool {
 	s := r.shard(replica)
 	s.mu.Lock()
@@ -183,15 +183,16 @@
 	return on
 }
 
-// tidy forgets a replica without runs that did not crash.
-func (s *runningShard) tidy(name string) {
+// removeIfIdle removes a replica that has no runs and no recent crash.
+func (s *runningShard) removeIfIdle(name string) {
 	if on := s.replicas[name]; on != nil && len(on.runs) == 0 && on.crashedAt.IsZero() {
 		delete(s.replicas, name)
 	}
 }
 
-// forget drops the replicas without runs whose crash is long past.
-func (s *runningShard) forget(now time.Time) {
+// removeExpired removes replicas without runs whose crash is older than
+// restartTime.
+func (s *runningShard) removeExpired(now time.Time) {
 	for name, on := range s.replicas {
 		if len(on.runs) == 0 && now.Sub(on.crashedAt) >= restartTime {
 			delete(s.replicas, name)
--- a/internal/quarantine/running_test.go
+++ b/internal/quarantine/running_test.go
@@ -18,7 +18,7 @@
 		t.Fatal("one suspect on two replicas")
 	}
 	if _, ok := running.Start("r1", 3, Normal); !ok {
-		t.Fatal("a normal request is held back")
+		t.Fatal("a normal request cannot run")
 	}
 	running.Finish(first)
 	running.Finish(first)
@@ -44,13 +44,13 @@
 	running.Answered(later)
 	running.Finish(later)
 	if running.SuspectOn("r1") || len(running.suspects) != 0 || len(running.shard("r1").replicas) != 0 {
-		t.Fatal("ended runs are kept")
+		t.Fatal("ended runs were not removed")
 	}
 }
 
-// TestRestartIsNoEvidence checks that requests which meet a replica that is
-// still down from a crash are not held to have caused one.
-func TestRestartIsNoEvidence(t *testing.T) {
+// Requests sent to a replica that is still down from a crash must not be blamed
+// for it.
+func TestRestartingReplicaIsNotACrash(t *testing.T) {
 	tests := []struct {
 		name     string
 		answered bool
@@ -74,7 +74,7 @@
 				t.Fatalf("crashed %v, want %d", crashed, test.want)
 			}
 			if running.SuspectOn("r1") || len(running.suspects) != 0 {
-				t.Fatal("the ended run is kept")
+				t.Fatal("the ended run was not removed")
 			}
 		})
 	}
--- a/internal/quarantine/schedule_test.go
+++ b/internal/quarantine/schedule_test.go
@@ -15,10 +15,10 @@
 	scheduleLength   = 60 * time.Second
 	downTime         = 2 * time.Second
 	longestRun       = 2 * time.Second
-	// mostCrashes of one poison: the first two, and one after each of the
-	// quarantines of 10, 20 and 40 s that end within the schedule.
+	// mostCrashes bounds the crashes by one poison request: the first two, and one
+	// after each of the quarantines of 10, 20 and 40 s that end within the schedule.
 	mostCrashes = 4
-	// mostDelay of an innocent beside the time it is refused.
+	// mostDelay bounds the delay of an innocent request beyond the time it is refused.
 	mostDelay = 10 * time.Second
 )
 
@@ -32,7 +32,7 @@
 	refused time.Duration
 }
 
-// schedule drives the tracker as a node does.
+// schedule simulates a node that uses the tracker.
 type schedule struct {
 	random  *rand.Rand
 	tracker *Tracker
@@ -43,7 +43,7 @@
 	started []*job
 	next    Fingerprint
 	crashes map[Fingerprint]int
-	// worst of the innocents.
+	// refused and delayed are the maxima over the innocent requests.
 	refused, delayed time.Duration
 	finished         int
 }
@@ -67,7 +67,7 @@
 	}
 }
 
-// start gives each waiting job a replica if it may run.
+// start places each waiting job on a replica if it may run.
 func (s *schedule) start() {
 	waiting := s.waiting
 	s.waiting = nil
@@ -94,7 +94,7 @@
 		if !ok {
 			continue
 		}
-		// The replica is up: its first byte comes at once.
+		// The replica is up, so it answers at once.
 		s.running.Answered(run)
 		j.run = run
 		j.endsAt = s.now.Add(time.Duration(s.random.Int64N(int64(longestRun))))
@@ -112,8 +112,8 @@
 	return n
 }
 
-// end finishes the innocents whose time has come and crashes the replicas of
-// the poisons whose time has come.
+// end finishes the innocent jobs and crashes the replicas of the poison jobs
+// that are due.
 func (s *schedule) end() {
 	for _, j := range s.started {
 		if j.poison && !j.endsAt.After(s.now) {
@@ -157,8 +157,9 @@
 	s.delayed = max(s.delayed, s.now.Sub(j.came))
 }
 
-// TestPoisonAmongInnocents runs random schedules in which poisons are sent
-// again and again, among innocents that are retried after each crash.
+// Runs random schedules of poison requests that are sent again and again, among
+// innocent ones that are retried after each crash: the crashes by each poison
+// request and the delay of the innocent ones are bounded.
 func TestPoisonAmongInnocents(t *testing.T) {
 	var worstRefused, worstDelayed time.Duration
 	worstCrashes, finished := 0, 0
@@ -177,8 +178,8 @@
 				t.Fatalf("poison %d crashed %d replicas", fp, n)
 			}
 		}
-		// With one poison no innocent is ever refused; each further one can
-		// at worst have an innocent quarantined once, each time for longer.
+		// With one poison request no innocent one is ever refused. Each further poison
+		// request can cause at most one quarantine of an innocent one, each time longer.
 		most := firstQuarantine * time.Duration(1<<(poisons-1)-1)
 		if s.refused > most || s.delayed > most+mostDelay {
 			t.Fatalf("%d poisons: an innocent was refused for %v (at most %v), delayed for %v",
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -12,26 +12,27 @@
 	// is twice as long, up to longestQuarantine.
 	firstQuarantine   = 10 * time.Second
 	longestQuarantine = 10 * time.Minute
-	// suspectFor is how long a suspicion lasts that nothing settles.
+	// suspectFor is how long an unresolved suspicion lasts.
 	suspectFor = 10 * time.Minute
-	// DefaultMaxRecords bounds the memory; the least recently used go first.
+	// DefaultMaxRecords is the default limit of records; the least recently used
+	// are evicted first.
 	DefaultMaxRecords = 4096
 )
 
-// Tracker holds the records. It is safe for concurrent use.
+// Tracker stores the records of this node. It is safe for concurrent use.
 type Tracker struct {
 	maxRecords int
-	// known is the number of records, read without the lock.
-	known atomic.Int64
+	// count is the number of records, read without the lock.
+	count atomic.Int64
 
 	mu      sync.Mutex
 	records map[Fingerprint]*list.Element // of Record
-	// recent orders the records, the most recently used first.
+	// recent has the most recently used record first.
 	recent *list.List
 }
 
-// NewTracker returns a tracker that holds at most maxRecords records; zero
-// means DefaultMaxRecords.
+// NewTracker returns a tracker of at most maxRecords records; zero means
+// DefaultMaxRecords.
 func NewTracker(maxRecords int) *Tracker {
 	if maxRecords == 0 {
 		maxRecords = DefaultMaxRecords
@@ -43,9 +44,10 @@
 	}
 }
 
-// Decide says how the request may run and, for Refuse, how long it is refused.
+// Decide returns how the request may run and, for Refuse, for how long it is
+// refused.
 func (t *Tracker) Decide(now time.Time, fp Fingerprint) (Verdict, time.Duration) {
-	if t.known.Load() == 0 {
+	if t.count.Load() == 0 {
 		return Normal, 0
 	}
 	t.mu.Lock()
@@ -61,9 +63,9 @@
 	return verdict, 0
 }
 
-// Crash tells that a replica crashed while the requests ran on it. It returns
-// the records that changed, for the peers. Where exactly one of the requests
-// was a suspect, it is quarantined; the others become suspects.
+// Crash records that a replica crashed while it ran the requests. If exactly
+// one of them was a suspect, it is quarantined; the others become suspects. It
+// returns the changed records, to be sent to the peers.
 func (t *Tracker) Crash(now time.Time, running []Fingerprint) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,10 +87,10 @@
 	return changed
 }
 
-// Finished tells that the request ran to its end, which clears it. It returns
-// the record that changed, if one did.
+// Finished records that the request finished, which clears it. It returns the
+// changed record and true, or false if nothing changed.
 func (t *Tracker) Finished(now time.Time, fp Fingerprint) (Record, bool) {
-	if t.known.Load() == 0 {
+	if t.count.Load() == 0 {
 		return Record{}, false
 	}
 	t.mu.Lock()
@@ -102,7 +104,7 @@
 	return r, true
 }
 
-// Merge takes in records of peers.
+// Merge merges records received from peers.
 func (t *Tracker) Merge(now time.Time, records []Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,7 +118,7 @@
 	}
 }
 
-// Records returns all records that still say something, and drops the others.
+// Records returns the unexpired records and removes the others.
 func (t *Tracker) Records(now time.Time) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,15 +135,15 @@
 	return kept
 }
 
-// suspect says whether the request was under suspicion before this crash. A
-// quarantined one that still runs, from before, counts as well.
+// suspect reports whether the request was a suspect before this crash. A
+// quarantined request that still runs counts as well.
 func (t *Tracker) suspect(now time.Time, fp Fingerprint) bool {
 	r, ok := t.get(fp)
 	return ok && r.verdict(now) != Normal
 }
 
-// crashed records a crash under the request; named says that it alone is held
-// to be the cause.
+// crashed records a crash under the request; named means that it is taken to
+// be the only cause.
 func (t *Tracker) crashed(now time.Time, fp Fingerprint, named bool) Record {
 	r, ok := t.get(fp)
 	if !ok || r.verdict(now) == Normal {
@@ -156,7 +158,8 @@
 	return r
 }
 
-// quarantineFor is the length of the quarantine at the level, from 1.
+// quarantineFor returns the length of the quarantine at the level, which starts
+// at 1.
 func quarantineFor(level int) time.Duration {
 	length := firstQuarantine
 	for range level - 1 {
@@ -187,11 +190,11 @@
 	if t.recent.Len() > t.maxRecords {
 		t.drop(t.recent.Back())
 	}
-	t.known.Store(int64(t.recent.Len()))
+	t.count.Store(int64(t.recent.Len()))
 }
 
 func (t *Tracker) drop(e *list.Element) {
 	delete(t.records, e.Value.(Record).Fingerprint)
 	t.recent.Remove(e)
-	t.known.Store(int64(t.recent.Len()))
+	t.count.Store(int64(t.recent.Len()))
 }
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestSecondCrashNamesTheCause(t *testing.T) {
+func TestSecondCrashQuarantinesTheCause(t *testing.T) {
 	const poison, innocent, neighbour = 1, 2, 3
 	tracker := NewTracker(0)
 	expect(t, tracker, start, poison, Normal)
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestTwoSuspectsNameNobody(t *testing.T) {
+func TestTwoSuspectsAreNotQuarantined(t *testing.T) {
 	tracker := NewTracker(0)
 	for range 3 {
 		tracker.Crash(start, []Fingerprint{1, 2})
@@ -59,8 +59,8 @@
 		want = min(2*want, longestQuarantine)
 	}
 	expect(t, tracker, now.Add(suspectFor), 1, Normal)
-	if left := tracker.Records(now.Add(suspectFor)); len(left) != 0 || tracker.known.Load() != 0 {
-		t.Fatalf("expired records kept: %v", left)
+	if left := tracker.Records(now.Add(suspectFor)); len(left) != 0 || tracker.count.Load() != 0 {
+		t.Fatalf("expired records were not removed: %v", left)
 	}
 }
 
@@ -75,8 +75,7 @@
 	expect(t, tracker, start, 99, RunAlone)
 }
 
-// TestMergeIsSemilattice checks that the order and number of merges is of no
-// matter.
+// Checks that merge is idempotent, commutative and associative.
 func TestMergeIsSemilattice(t *testing.T) {
 	draw := rapid.Custom(func(t *rapid.T) Record {
 		at := func(name string) time.Time {
@@ -101,7 +100,7 @@
 	})
 }
 
-func TestPeersLearn(t *testing.T) {
+func TestPeersMergeRecords(t *testing.T) {
 	here, there := NewTracker(0), NewTracker(0)
 	here.Crash(start, []Fingerprint{1})
 	there.Merge(start, here.Crash(start, []Fingerprint{1}))
@@ -114,6 +113,6 @@
 
 func TestFingerprintParts(t *testing.T) {
 	if FingerprintOf("a", "bc", nil) == FingerprintOf("ab", "c", nil) {
-		t.Fatal("parts run into each other")
+		t.Fatal("the boundary between parts does not count")
 	}
 }
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -1,14 +1,14 @@
 package quarantine
 
-// Verdict says how a request may run.
+// Verdict is the decision on how a request may run.
 type Verdict string
 
 // The verdicts.
 const (
 	// Normal requests run anywhere.
 	Normal Verdict = "normal"
-	// RunAlone requests are suspects: each runs once at a time, on a replica
-	// without another suspect.
+	// RunAlone requests are suspects: each runs at most once at a time, on a
+	// replica without another suspect.
 	RunAlone Verdict = "run_alone"
 	// Refuse requests are quarantined.
 	Refuse Verdict = "refuse"
