--- a/internal/autoscale/orders.go
+++ b/internal/autoscale/orders.go
@@ -73,9 +73,9 @@
 	return more
 }
 
-// Placed notes that an order was sent. One that makes room for the other kind has that
+// RecordSent notes that an order was sent. One that makes room for the other kind has that
 // ordered again at once: its last order may have been cut to the bound of the zone.
-func (b *Orders) Placed(now boottime.Instant, o Order, ready int) {
+func (b *Orders) RecordSent(now boottime.Instant, o Order, ready int) {
 	b.last[o.Pool] = ordered{replicas: o.Replicas, at: now}
 	if o.Kind == OnDemand && o.Replicas < ready {
 		other := o.Pool
@@ -111,15 +111,15 @@
 	return toBeHad && zone.Ready[Reclaimable] >= min(replacing, room)
 }
 
-// Refused notes that the pool has nothing to give.
-func (b *Orders) Refused(now boottime.Instant, o Order) {
+// RecordRefused notes that the pool has nothing to give.
+func (b *Orders) RecordRefused(now boottime.Instant, o Order) {
 	delete(b.last, o.Pool)
 	b.dryUntil[o.Pool] = now.Add(dryFor)
 }
 
-// Dry are the zones that have no reclaimable replicas of the upstream to give: that said
+// ExhaustedZones are the zones that have no reclaimable replicas of the upstream to give: that said
 // so, or that take theirs away.
-func (b *Orders) Dry(now boottime.Instant, o *Observation) map[string]bool {
+func (b *Orders) ExhaustedZones(now boottime.Instant, o *Observation) map[string]bool {
 	dry := make(map[string]bool)
 	for _, zone := range o.Zones {
 		pool := Pool{Upstream: o.Upstream, AvailabilityZone: zone.Name, Kind: Reclaimable}
--- a/internal/autoscale/orders_test.go
+++ b/internal/autoscale/orders_test.go
@@ -40,7 +40,7 @@
 	if replicasOf(due, Reclaimable) != 45 || replicasOf(due, OnDemand) != -1 {
 		t.Fatalf("ordered %v, want 45 reclaimable ones and nothing taken away", due)
 	}
-	b.Placed(now, due[0], 0)
+	b.RecordSent(now, due[0], 0)
 	now = now.Add(time.Second)
 	if due := b.Due(now, o, mixOf(1, 45)); len(due) != 0 {
 		t.Errorf("ordered again after a second: %v", due)
@@ -52,7 +52,7 @@
 	if replicasOf(due, OnDemand) != 1 {
 		t.Fatalf("ordered %v, want the on-demand ones away: the zone is full", due)
 	}
-	b.Placed(now, due[0], 30)
+	b.RecordSent(now, due[0], 30)
 	if due := b.Due(now.Add(time.Second), observed(zone("a", 1, 30)), mixOf(1, 45)); replicasOf(due, Reclaimable) != 45 {
 		t.Errorf("ordered %v, want the rest of the reclaimable ones", due)
 	}
@@ -70,7 +70,7 @@
 	b := NewOrders()
 	now := boottime.Instant(time.Hour)
 	order := Order{Pool: Pool{Upstream: "model", AvailabilityZone: "a", Kind: Reclaimable}, Replicas: 45}
-	b.Placed(now, order, 0)
+	b.RecordSent(now, order, 0)
 	o := observed(zone("a", 1, 20))
 	within := now.Add(o.Scaling.Boot + effectLag - time.Second)
 	if due := b.Due(within, o, mixOf(1, 45)); replicasOf(due, Reclaimable) != -1 {
@@ -86,11 +86,11 @@
 	now := boottime.Instant(time.Hour)
 	o := observed(zone("a", 0, 0), zone("b", 0, 30), zone("c", 0, 30))
 	pool := Pool{Upstream: "model", AvailabilityZone: "a", Kind: Reclaimable}
-	b.Refused(now, Order{Pool: pool, Replicas: 30})
-	if dry := b.Dry(now.Add(dryFor/2), o); !dry["a"] || dry["b"] {
+	b.RecordRefused(now, Order{Pool: pool, Replicas: 30})
+	if dry := b.ExhaustedZones(now.Add(dryFor/2), o); !dry["a"] || dry["b"] {
 		t.Errorf("dry are %v, want a", dry)
 	}
-	if dry := b.Dry(now.Add(dryFor), o); len(dry) != 0 {
+	if dry := b.ExhaustedZones(now.Add(dryFor), o); len(dry) != 0 {
 		t.Errorf("dry are %v, want none any more", dry)
 	}
 }
@@ -104,9 +104,9 @@
 		o := observed(zone("a", 1, 40), zone("b", 1, 44), zone("c", 1, 44))
 		for _, name := range dryZones {
 			pool := Pool{Upstream: "model", AvailabilityZone: name, Kind: Reclaimable}
-			b.Refused(now, Order{Pool: pool, Replicas: 44})
+			b.RecordRefused(now, Order{Pool: pool, Replicas: 44})
 		}
-		mix := portfolio(60, &o.Scaling, o.names(), b.Dry(now, o))
+		mix := portfolio(60, &o.Scaling, o.names(), b.ExhaustedZones(now, o))
 		for _, order := range b.Due(now, o, mix) {
 			if order.Kind == Reclaimable && order.Replicas < o.readyIn(order.Pool) {
 				t.Errorf("dry %v: %d of %d are left in %s", dryZones, order.Replicas, o.readyIn(order.Pool), order.AvailabilityZone)
@@ -121,8 +121,8 @@
 	b := NewOrders()
 	now := boottime.Instant(time.Hour)
 	o := observed(zone("a", 30, 0), zone("b", 30, 30), zone("c", 30, 30))
-	b.Refused(now, Order{Pool: Pool{Upstream: "model", AvailabilityZone: "a", Kind: Reclaimable}, Replicas: 44})
-	mix := portfolio(90, &o.Scaling, o.names(), b.Dry(now, o))
+	b.RecordRefused(now, Order{Pool: Pool{Upstream: "model", AvailabilityZone: "a", Kind: Reclaimable}, Replicas: 44})
+	mix := portfolio(90, &o.Scaling, o.names(), b.ExhaustedZones(now, o))
 	for _, order := range b.Due(now, o, mix) {
 		if order.AvailabilityZone == "a" && order.Replicas < 30 {
 			t.Errorf("%d of 30 replicas are left in a zone that has no others to give", order.Replicas)
@@ -144,7 +144,7 @@
 		mix := portfolio(wanted, &o.Scaling, o.names(), nil)
 		for _, order := range b.Due(now, o, mix) {
 			orders++
-			b.Placed(now, order, o.readyIn(order.Pool))
+			b.RecordSent(now, order, o.readyIn(order.Pool))
 			for i := range o.Zones {
 				if o.Zones[i].Name == order.AvailabilityZone {
 					o.Zones[i].Ready[order.Kind] = order.Replicas
--- a/internal/autoscale/scaler.go
+++ b/internal/autoscale/scaler.go
@@ -125,7 +125,7 @@
 
 // order sends the orders that are due for an upstream.
 func (s *session) order(ctx context.Context, now boottime.Instant, o *Observation, wanted float64) {
-	mix := portfolio(wanted, &o.Scaling, o.names(), s.orders.Dry(now, o))
+	mix := portfolio(wanted, &o.Scaling, o.names(), s.orders.ExhaustedZones(now, o))
 	s.send(ctx, now, o, wanted, s.orders.Due(now, o, mix))
 }
 
@@ -137,7 +137,7 @@
 	if seen == 0 {
 		return
 	}
-	mix := portfolio(seen, &o.Scaling, o.names(), s.orders.Dry(now, o))
+	mix := portfolio(seen, &o.Scaling, o.names(), s.orders.ExhaustedZones(now, o))
 	s.send(ctx, now, o, seen, s.orders.More(o, mix))
 }
 
@@ -147,14 +147,14 @@
 		if !s.term.Held() || s.fenced {
 			return
 		}
-		s.orders.Placed(now, order, o.readyIn(order.Pool))
+		s.orders.RecordSent(now, order, o.readyIn(order.Pool))
 		err := s.options.Platform.Order(ctx, s.term, order)
 		s.options.Metrics.ordered(order, err)
 		s.options.Log.Write(&orderSent{order: order, wanted: wanted, observed: o, fence: s.term.Fence, err: err})
 		switch {
 		case !errors.Is(err, platform.ErrConflict):
 		case order.Kind == Reclaimable:
-			s.orders.Refused(now, order)
+			s.orders.RecordRefused(now, order)
 		default:
 			s.fenced = true
 		}
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -80,7 +80,7 @@
 	timing := handover.DefaultTiming()
 	metrics := handover.NewMetrics(o.Registry)
 	weights, _ := o.Store.(platform.Weights)
-	sender, err := order.NewSender(order.NewHTTPTransport(), weights, order.DefaultDiscipline(controlLeaseTTL), order.NewMetrics(o.Registry), time.Now)
+	sender, err := order.NewSender(order.NewHTTPTransport(), weights, order.DefaultLeaseTiming(controlLeaseTTL), order.NewMetrics(o.Registry), time.Now)
 	if err != nil {
 		return err
 	}
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -97,7 +97,7 @@
 		}
 		target := order.Target{Name: replica.Name, Address: replica.Address, HonoursFencing: u.HonoursFencing}
 		for _, model := range modelsOf(u) {
-			done, err := r.sender.Drive(ctx, target, openai.Order{Kind: openai.OrderLoad, Model: model})
+			done, err := r.sender.Reconcile(ctx, target, openai.Order{Kind: openai.OrderLoad, Model: model})
 			var hold *order.HoldError
 			switch {
 			case errors.Is(err, order.ErrNoOrders):
--- a/internal/order/discipline.go
+++ b/internal/order/discipline.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Discipline holds the times that keep an old and a new holder of a pool's
+// LeaseTiming holds the times that keep an old and a new holder of a pool's
 // lease apart at engines that ignore fencing.
-type Discipline struct {
+type LeaseTiming struct {
 	// LeaseTTL is the length of the pool's lease as the platform grants it.
 	LeaseTTL time.Duration
 	// ClockError is the most by which two clocks that measure LeaseTTL differ.
@@ -22,9 +22,9 @@
 	DetectPause time.Duration
 }
 
-// DefaultDiscipline returns the discipline for a lease of the given length.
-func DefaultDiscipline(ttl time.Duration) Discipline {
-	return Discipline{
+// DefaultLeaseTiming returns the discipline for a lease of the given length.
+func DefaultLeaseTiming(ttl time.Duration) LeaseTiming {
+	return LeaseTiming{
 		LeaseTTL:     ttl,
 		ClockError:   ttl / 20,
 		LongestOrder: 2 * time.Second,
@@ -34,7 +34,7 @@
 }
 
 // Check returns an error where the times don't keep two holders apart.
-func (d Discipline) Check() error {
+func (d LeaseTiming) Check() error {
 	if d.LeaseTTL <= 0 || d.LongestOrder <= 0 || d.DetectPause <= 0 {
 		return fmt.Errorf("order: lease of %s, longest order of %s and pause of %s must be above zero", d.LeaseTTL, d.LongestOrder, d.DetectPause)
 	}
@@ -47,6 +47,6 @@
 // handOverWait is how long a new holder waits before its first order to an
 // engine that ignores fencing: the old lease may have been taken from its
 // holder before its time, so it counts in full from the new grant.
-func (d Discipline) handOverWait() time.Duration {
+func (d LeaseTiming) handOverWait() time.Duration {
 	return d.LeaseTTL + d.ClockError + d.LongestOrder
 }
--- a/internal/order/grant.go
+++ b/internal/order/grant.go
@@ -17,8 +17,8 @@
 	// Asked is when the newest acquire or renewal was sent: the platform can't
 	// have granted it earlier.
 	Asked time.Time
-	// Looked is when the holder last looked at the clock.
-	Looked time.Time
+	// LastHeartbeat is when the holder last looked at the clock.
+	LastHeartbeat time.Time
 	// Paused says that a pause was detected since the newest renewal.
 	Paused bool
 }
@@ -26,24 +26,24 @@
 // Renewed returns the grant after an acquire or a renewal that was asked for
 // at asked and answered at now.
 func (g Grant) Renewed(lease platform.Lease, asked, now time.Time) Grant {
-	next := Grant{Epoch: lease.Epoch, Since: now, Asked: asked, Looked: now}
+	next := Grant{Epoch: lease.Epoch, Since: now, Asked: asked, LastHeartbeat: now}
 	if lease.Epoch == g.Epoch {
 		next.Since = g.Since
 	}
 	return next
 }
 
-// Look notes a look at the clock; a long gap since the last one is a pause.
-func (g Grant) Look(d Discipline, now time.Time) Grant {
-	if now.Sub(g.Looked) > d.DetectPause {
+// WithHeartbeat notes a look at the clock; a long gap since the last one is a pause.
+func (g Grant) WithHeartbeat(d LeaseTiming, now time.Time) Grant {
+	if now.Sub(g.LastHeartbeat) > d.DetectPause {
 		g.Paused = true
 	}
-	g.Looked = now
+	g.LastHeartbeat = now
 	return g
 }
 
 // Check returns nil where an order may leave at now, else a *HoldError.
-func (g Grant) Check(d Discipline, honoursFencing bool, now time.Time) error {
+func (g Grant) Check(d LeaseTiming, honoursFencing bool, now time.Time) error {
 	if g.Epoch == 0 {
 		return &HoldError{Reason: ReasonNoLease}
 	}
@@ -51,7 +51,7 @@
 	if !now.Before(end) {
 		return &HoldError{Reason: ReasonLeaseEnding}
 	}
-	if g.Paused || now.Sub(g.Looked) > d.DetectPause {
+	if g.Paused || now.Sub(g.LastHeartbeat) > d.DetectPause {
 		return &HoldError{Reason: ReasonPaused}
 	}
 	if honoursFencing {
--- a/internal/order/orderplan/actor.go
+++ b/internal/order/orderplan/actor.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return intent.Progress{}, err
 	}
-	done, err := a.sender.Drive(ctx, target, wanted(task))
+	done, err := a.sender.Reconcile(ctx, target, wanted(task))
 	var hold *order.HoldError
 	if errors.As(err, &hold) {
 		return intent.Progress{Wait: string(hold.Reason)}, nil
--- a/internal/order/orderplan/actor_test.go
+++ b/internal/order/orderplan/actor_test.go
@@ -21,7 +21,7 @@
 	server := httptest.NewServer(engine.New(engine.Options{Name: "r0", Model: "m", HonoursFencing: true}))
 	t.Cleanup(server.Close)
 	weights := memstore.New(memstore.Config{WeightsPerSecond: weightsPerSecond})
-	sender, err := order.NewSender(order.NewHTTPTransport(), weights, order.DefaultDiscipline(time.Hour), order.NewMetrics(prometheus.NewRegistry()), time.Now)
+	sender, err := order.NewSender(order.NewHTTPTransport(), weights, order.DefaultLeaseTiming(time.Hour), order.NewMetrics(prometheus.NewRegistry()), time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/order/sender.go
+++ b/internal/order/sender.go
@@ -36,7 +36,7 @@
 type Sender struct {
 	transport  Transport
 	weights    platform.Weights
-	discipline Discipline
+	discipline LeaseTiming
 	metrics    *Metrics
 	now        func() time.Time
 
@@ -46,7 +46,7 @@
 
 // NewSender returns a Sender without a grant. now must carry the monotonic
 // clock, as time.Now does.
-func NewSender(transport Transport, weights platform.Weights, d Discipline, metrics *Metrics, now func() time.Time) (*Sender, error) {
+func NewSender(transport Transport, weights platform.Weights, d LeaseTiming, metrics *Metrics, now func() time.Time) (*Sender, error) {
 	if err := d.Check(); err != nil {
 		return nil, err
 	}
@@ -74,13 +74,13 @@
 func (s *Sender) Beat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.grant = s.grant.Look(s.discipline, s.now())
+	s.grant = s.grant.WithHeartbeat(s.discipline, s.now())
 }
 
-// Drive brings the target nearer to the order's desired state and says whether
+// Reconcile brings the target nearer to the order's desired state and says whether
 // it is there, as read back from the engine. The order's epoch is set here. It
 // returns a *HoldError where an order was needed and none left.
-func (s *Sender) Drive(ctx context.Context, target Target, order openai.Order) (bool, error) {
+func (s *Sender) Reconcile(ctx context.Context, target Target, order openai.Order) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.discipline.LongestOrder)
 	defer cancel()
 	state, err := s.transport.State(ctx, target)
--- a/internal/order/sender_test.go
+++ b/internal/order/sender_test.go
@@ -70,7 +70,7 @@
 
 func newTestSender(t *testing.T, transport Transport, weights platform.Weights) *Sender {
 	t.Helper()
-	s, err := NewSender(transport, weights, DefaultDiscipline(testTTL), NewMetrics(prometheus.NewRegistry()), time.Now)
+	s, err := NewSender(transport, weights, DefaultLeaseTiming(testTTL), NewMetrics(prometheus.NewRegistry()), time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 		if beat() {
 			s.Beat()
 		}
-		_, _ = s.Drive(ctx, target, openai.Order{Kind: openai.OrderRole, Role: role})
+		_, _ = s.Reconcile(ctx, target, openai.Order{Kind: openai.OrderRole, Role: role})
 		time.Sleep(100 * time.Millisecond)
 	}
 }
@@ -149,7 +149,7 @@
 }
 
 func TestHoldReasons(t *testing.T) {
-	d := DefaultDiscipline(testTTL)
+	d := DefaultLeaseTiming(testTTL)
 	began := time.Unix(1000, 0)
 	held := Grant{}.Renewed(platform.Lease{Epoch: 3}, began, began)
 	for _, c := range []struct {
@@ -164,7 +164,7 @@
 		{name: "ignored: not at once", grant: held, want: ReasonHandOver},
 		{name: "well before its end", grant: held, after: d.LeaseTTL - d.StopMargin, honours: true, want: ReasonLeaseEnding},
 		{name: "after a pause", grant: held, after: d.DetectPause + 1, honours: true, want: ReasonPaused},
-		{name: "a look after a pause changes nothing", grant: held.Look(d, began.Add(time.Second)), after: time.Second, honours: true, want: ReasonPaused},
+		{name: "a look after a pause changes nothing", grant: held.WithHeartbeat(d, began.Add(time.Second)), after: time.Second, honours: true, want: ReasonPaused},
 	} {
 		err := c.grant.Check(d, c.honours, began.Add(c.after))
 		var hold *HoldError
@@ -178,7 +178,7 @@
 	engine := &fakeEngine{honours: true}
 	s := newTestSender(t, &network{engine: engine}, openWeights{err: platform.ErrRateLimited})
 	s.Renewed(platform.Lease{Epoch: 1}, time.Now())
-	_, err := s.Drive(t.Context(), Target{HonoursFencing: true}, openai.Order{Kind: openai.OrderLoad, Model: "m"})
+	_, err := s.Reconcile(t.Context(), Target{HonoursFencing: true}, openai.Order{Kind: openai.OrderLoad, Model: "m"})
 	var hold *HoldError
 	if !errors.As(err, &hold) || hold.Reason != ReasonWeights || len(engine.state.Applied) != 0 {
 		t.Errorf("got %v; applied %v", err, engine.state.Applied)
