--- a/internal/autoscale/capacity.go
+++ b/internal/autoscale/capacity.go
@@ -7,47 +7,47 @@
 	"galenatrestle/internal/boottime"
 )
 
-// Record is what the next holder goes on from, as it is written to the store.
+// Record is the scaler state in the store. The next lease holder resumes from it.
 type Record struct {
-	// Capacity is the replicas wanted of each upstream that can't be taken away.
+	// Capacity is the wanted capacity by upstream, in non-reclaimable replicas.
 	Capacity map[string]float64 `json:"capacity"`
 }
 
 const (
-	// shrinkTime is the time in which a capacity that nobody needs falls to a half: a
-	// replica that goes takes its cached prompts with it, and the load comes back.
-	shrinkTime = 5 * time.Minute
-	// busyHeadroom is the capacity for each replica whose places are all taken: a burst
-	// is there within a second, and new replicas serve some seconds later.
+	// capacityHalfLife is the half-life of unused capacity. Removing a replica loses its
+	// cached prompts, so capacity shrinks slowly in case the load returns.
+	capacityHalfLife = 5 * time.Minute
+	// busyHeadroom is the capacity per fully occupied replica, for bursts that arrive
+	// faster than new replicas start.
 	busyHeadroom = 2.0
 )
 
-// capacity is what is wanted after passed, where before was, and o is observed. It grows
-// at once and shrinks slowly.
+// capacity returns the wanted capacity, given the previous one, the observation and the
+// time passed since. It grows immediately and decays with capacityHalfLife.
 func capacity(before float64, o *Observation, passed time.Duration) float64 {
-	shrunk := before * math.Exp2(-passed.Seconds()/shrinkTime.Seconds())
+	shrunk := before * math.Exp2(-passed.Seconds()/capacityHalfLife.Seconds())
 	return max(shrunk, busyHeadroom*float64(o.Busy)/float64(max(o.Slots, 1)))
 }
 
-// stableFor is how long the number of replicas has to stand before it counts as what the
-// operator has: at a fleet's start they register one after the other.
+// stableFor is how long the replica count must stay unchanged before it is taken as the
+// initial capacity: replicas register one by one when a fleet starts.
 const stableFor = 2 * time.Second
 
-// arrivals follows the replicas of an upstream of which nobody has wanted any number yet.
-type arrivals struct {
+// registrations tracks the replica count of an upstream that has no wanted capacity yet.
+type registrations struct {
 	ready int
 	since boottime.Instant
 }
 
-// present is the capacity of what is registered, once the number of replicas has stood
-// for a while. Reclaimable ones count only where there are no others.
-func (a *arrivals) present(now boottime.Instant, o *Observation) (capacity float64, known bool) {
+// stableCapacity returns the registered capacity once the replica count has been stable
+// for stableFor. Reclaimable replicas count only if there are no on-demand ones.
+func (a *registrations) stableCapacity(now boottime.Instant, o *Observation) (capacity float64, known bool) {
 	ready := o.ready(OnDemand)
 	if ready == 0 {
 		ready = o.ready(Reclaimable)
 	}
-	// What stands still on old news says nothing.
-	if a.since == 0 || ready != a.ready || o.Age > newsAge {
+	// A stale observation is no evidence of a stable count.
+	if a.since == 0 || ready != a.ready || o.Age > maxObservationAge {
 		a.ready, a.since = ready, now
 	}
 	return float64(ready), ready > 0 && now.Sub(a.since) >= stableFor
--- a/internal/autoscale/doc.go
+++ b/internal/autoscale/doc.go
@@ -1,9 +1,9 @@
-// Package autoscale decides how many replicas of each upstream there should be, in which
-// availability zones and of which kind, and orders them as the duty of one node.
+// Package autoscale decides how many replicas of each kind every upstream needs in each
+// availability zone, and orders them from the node that holds the duty lease.
 //
-// What is wanted is worked out anew again and again from what is registered and in use:
-// an order that was lost, or carried out late, shows by its effect and is put right. The
-// decisions are pure; Scaler makes the calls. The capacity that is wanted lives in the
-// platform's store, so that the next holder goes on from there. In an outage of the store
-// nothing is ordered, and old news take no replica away.
+// The wanted state is recomputed periodically from registrations and load, so a lost or
+// delayed order is detected by its missing effect and repeated. Decisions are made without
+// I/O; Scaler makes the calls. The wanted capacity is kept in the platform's store, from
+// which the next holder resumes. Nothing is ordered until the stored capacity has been
+// read, and no replica is removed on the basis of a stale observation.
 package autoscale
--- a/internal/autoscale/events.go
+++ b/internal/autoscale/events.go
@@ -2,7 +2,7 @@
 
 import "galenatrestle/internal/eventlog"
 
-// orderSent tells of an order and what it was decided by.
+// orderSent logs an order and the inputs to the decision.
 type orderSent struct {
 	order    Order
 	wanted   float64
--- a/internal/autoscale/metrics.go
+++ b/internal/autoscale/metrics.go
@@ -2,13 +2,13 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics tell of the orders that this node sent.
+// Metrics counts the orders sent by this node.
 type Metrics struct {
 	orders *prometheus.CounterVec
 	wanted *prometheus.GaugeVec
 }
 
-// NewMetrics registers them.
+// NewMetrics registers the metrics.
 func NewMetrics(register prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/autoscale/observation.go
+++ b/internal/autoscale/observation.go
@@ -7,28 +7,28 @@
 	"galenatrestle/internal/route"
 )
 
-// Observation is what is known of an upstream's replicas at one moment.
+// Observation is a snapshot of an upstream's replicas and load.
 type Observation struct {
 	Upstream string
 	Scaling  route.Scaling
-	// Slots is the number of requests that one replica runs at once.
+	// Slots is the number of requests that one replica runs concurrently.
 	Slots int
-	// Zones are the availability zones in which it may run, by name.
+	// Zones are the availability zones in which the upstream may run, by name.
 	Zones []Zone
-	// Busy is the requests that run or wait at the replicas.
+	// Busy is the number of requests running or queued at the replicas.
 	Busy int
-	// Age is that of the news of the replicas.
+	// Age is the age of the replica data.
 	Age time.Duration
 }
 
 // Zone is one availability zone of an Observation.
 type Zone struct {
 	Name string
-	// Ready counts the replicas of each kind that take requests.
+	// Ready is the number of replicas by kind that accept requests.
 	Ready map[Kind]int
 }
 
-// ready is the number of replicas of the kind that take requests.
+// ready returns the number of replicas of the kind that accept requests, in all zones.
 func (o *Observation) ready(kind Kind) int {
 	sum := 0
 	for _, z := range o.Zones {
@@ -37,7 +37,7 @@
 	return sum
 }
 
-// readyIn is the number of replicas of the pool that take requests.
+// readyIn returns the number of replicas in the pool that accept requests.
 func (o *Observation) readyIn(p Pool) int {
 	for _, z := range o.Zones {
 		if z.Name == p.AvailabilityZone {
@@ -47,8 +47,7 @@
 	return 0
 }
 
-// names are the zones' names.
-func (o *Observation) names() []string {
+func (o *Observation) zoneNames() []string {
 	names := make([]string, len(o.Zones))
 	for i, z := range o.Zones {
 		names[i] = z.Name
@@ -56,7 +55,7 @@
 	return names
 }
 
-// CountZone counts the replicas of an availability zone that are not leaving.
+// CountZone counts the replicas of an availability zone that are not draining.
 func CountZone(name string, replicas []replica.Replica) Zone {
 	z := Zone{Name: name, Ready: make(map[Kind]int)}
 	for _, r := range replicas {
--- a/internal/autoscale/order.go
+++ b/internal/autoscale/order.go
@@ -6,34 +6,34 @@
 	"galenatrestle/internal/duty"
 )
 
-// Kind says on which terms replicas run.
+// Kind is the provisioning type of a replica.
 type Kind string
 
-// The kinds.
+// Replica kinds.
 const (
-	// OnDemand replicas run until they are ordered away.
+	// OnDemand replicas run until an order removes them.
 	OnDemand Kind = "on_demand"
-	// Reclaimable replicas cost less, and all of an availability zone may be taken away
-	// at short notice.
+	// Reclaimable replicas cost less, but the platform may reclaim all of those in an
+	// availability zone at short notice.
 	Reclaimable Kind = "reclaimable"
 )
 
-// Pool is the replicas that one order is about.
+// Pool identifies the replicas that one order applies to.
 type Pool struct {
 	Upstream         string
 	AvailabilityZone string
 	Kind             Kind
 }
 
-// Order says how many replicas of a pool there should be.
+// Order sets the wanted number of replicas of a pool.
 type Order struct {
 	Pool
 	Replicas int
 }
 
-// Platform takes orders. After an error that wraps platform.ErrConflict there are none
-// of the pool to be had, or a later holder has ordered; after platform.ErrUnavailable
-// the order may have been taken.
+// Platform accepts orders. An error that wraps platform.ErrConflict means that the pool
+// has no capacity left or that a later holder has ordered. After an error that wraps
+// platform.ErrUnavailable the order may or may not have been accepted.
 type Platform interface {
 	Order(ctx context.Context, term duty.Term, o Order) error
 }
--- a/internal/autoscale/orders.go
+++ b/internal/autoscale/orders.go
@@ -7,37 +7,40 @@
 )
 
 const (
-	// effectLag is how long after a replica's boot its registration is known here.
-	effectLag = 3 * time.Second
-	// dryFor is how long a zone that had no replica to give is left alone.
-	dryFor = 2 * time.Second
-	// newsAge is the age of the news of the replicas up to which any are ordered away.
-	newsAge = 3 * time.Second
+	// registrationDelay is the delay between a replica's boot and its registration being
+	// visible to this node.
+	registrationDelay = 3 * time.Second
+	// exhaustedBackoff is how long no order is sent to a pool after it refused one for lack
+	// of capacity.
+	exhaustedBackoff = 2 * time.Second
+	// maxObservationAge is the maximum age of an observation that may cause replicas to be
+	// removed.
+	maxObservationAge = 3 * time.Second
 )
 
-// ordered is the last order of a pool.
+// ordered is the last order sent for a pool.
 type ordered struct {
 	replicas int
 	at       boottime.Instant
 }
 
-// Orders are what was ordered of each pool, and when it has to be ordered again. It is
-// for one goroutine.
+// Orders records the last order of each pool and decides when to send the next one. It is
+// not safe for concurrent use.
 type Orders struct {
 	last map[Pool]ordered
-	// dryUntil is until when a pool is thought to have nothing to give.
-	dryUntil map[Pool]boottime.Instant
+	// exhaustedUntil is the time until which a pool is assumed to have no capacity.
+	exhaustedUntil map[Pool]boottime.Instant
 }
 
-// NewOrders returns a book without orders.
+// NewOrders returns an Orders without any order.
 func NewOrders() *Orders {
-	return &Orders{last: make(map[Pool]ordered), dryUntil: make(map[Pool]boottime.Instant)}
+	return &Orders{last: make(map[Pool]ordered), exhaustedUntil: make(map[Pool]boottime.Instant)}
 }
 
-// Due are the orders that lead from what is observed to the mix. One is repeated where
-// its effect does not show in time: it was lost, or a late one was carried out after it.
-// Replicas are taken away only by fresh news, and on-demand ones only once the
-// reclaimable ones that replace them serve.
+// Due returns the orders that move the observed replicas towards the mix. An order is
+// repeated if its effect is not visible in time, as it may have been lost or overwritten by
+// a delayed one. Replicas are removed only on a recent observation, and on-demand ones only
+// once the reclaimable ones that replace them are ready.
 func (b *Orders) Due(now boottime.Instant, o *Observation, mix Mix) []Order {
 	var due []Order
 	for _, zone := range o.Zones {
@@ -60,7 +63,7 @@
 	return due
 }
 
-// More are the orders of reclaimable replicas that add to what was ordered of them.
+// More returns the orders for reclaimable replicas that raise the number already ordered.
 func (b *Orders) More(o *Observation, mix Mix) []Order {
 	var more []Order
 	for _, zone := range o.Zones {
@@ -73,8 +76,9 @@
 	return more
 }
 
-// RecordSent notes that an order was sent. One that makes room for the other kind has that
-// ordered again at once: its last order may have been cut to the bound of the zone.
+// RecordSent records that an order was sent. If it removes on-demand replicas, the last
+// reclaimable order is forgotten so that it is repeated at once: the platform may have
+// capped it at the maximum of the zone.
 func (b *Orders) RecordSent(now boottime.Instant, o Order, ready int) {
 	b.last[o.Pool] = ordered{replicas: o.Replicas, at: now}
 	if o.Kind == OnDemand && o.Replicas < ready {
@@ -84,48 +88,48 @@
 	}
 }
 
-// settled says whether nothing is to be ordered: the pool is as wanted, or the last order
-// may still show its effect.
+// settled reports whether no order is needed: the pool has the wanted size, or the last
+// order may still take effect.
 func (b *Orders) settled(now boottime.Instant, o *Observation, want Order, ready int) bool {
 	if want.Replicas == ready {
 		_, once := b.last[want.Pool]
 		return once || ready == 0
 	}
 	last, once := b.last[want.Pool]
-	return once && last.replicas == want.Replicas && now.Sub(last.at) < o.Scaling.Boot+effectLag
+	return once && last.replicas == want.Replicas && now.Sub(last.at) < o.Scaling.Boot+registrationDelay
 }
 
-// mayShrink says whether replicas of the zone's kind may be ordered away now.
+// mayShrink reports whether replicas of the kind may be removed from the zone now.
 func mayShrink(o *Observation, mix Mix, zone Zone, kind Kind) bool {
-	if o.Age > newsAge {
+	if o.Age > maxObservationAge {
 		return false
 	}
 	if kind == Reclaimable {
 		return true
 	}
-	// A zone that has no reclaimable ones to give keeps its on-demand ones.
+	// Keep on-demand replicas in a zone without reclaimable capacity.
 	replacing, toBeHad := mix[zone.Name][Reclaimable]
-	// Both kinds share a zone's bound: where it is reached, more reclaimable ones come
-	// only when on-demand ones leave.
+	// Both kinds share the maximum of the zone. Once it is reached, more reclaimable
+	// replicas can start only when on-demand ones are removed.
 	room := o.Scaling.Max - zone.Ready[OnDemand]
 	return toBeHad && zone.Ready[Reclaimable] >= min(replacing, room)
 }
 
-// RecordRefused notes that the pool has nothing to give.
+// RecordRefused records that the pool has no capacity.
 func (b *Orders) RecordRefused(now boottime.Instant, o Order) {
 	delete(b.last, o.Pool)
-	b.dryUntil[o.Pool] = now.Add(dryFor)
+	b.exhaustedUntil[o.Pool] = now.Add(exhaustedBackoff)
 }
 
-// ExhaustedZones are the zones that have no reclaimable replicas of the upstream to give: that said
-// so, or that take theirs away.
+// ExhaustedZones returns the zones that recently refused an order for reclaimable replicas
+// of the upstream.
 func (b *Orders) ExhaustedZones(now boottime.Instant, o *Observation) map[string]bool {
-	dry := make(map[string]bool)
+	exhausted := make(map[string]bool)
 	for _, zone := range o.Zones {
 		pool := Pool{Upstream: o.Upstream, AvailabilityZone: zone.Name, Kind: Reclaimable}
-		if until, refused := b.dryUntil[pool]; refused && until > now {
-			dry[zone.Name] = true
+		if until, refused := b.exhaustedUntil[pool]; refused && until > now {
+			exhausted[zone.Name] = true
 		}
 	}
-	return dry
+	return exhausted
 }
--- a/internal/autoscale/orders_test.go
+++ b/internal/autoscale/orders_test.go
@@ -7,7 +7,7 @@
 	"galenatrestle/internal/boottime"
 )
 
-// zone is an availability zone with so many replicas ready.
+// zone returns an availability zone with the given numbers of ready replicas.
 func zone(name string, onDemand, reclaimable int) Zone {
 	return Zone{Name: name, Ready: map[Kind]int{OnDemand: onDemand, Reclaimable: reclaimable}}
 }
@@ -22,7 +22,7 @@
 	return Mix{"a": {OnDemand: onDemand, Reclaimable: reclaimable}}
 }
 
-// replicasOf is what is ordered of the kind; -1: nothing.
+// replicasOf returns the number of replicas ordered of the kind, or -1 without an order.
 func replicasOf(due []Order, kind Kind) int {
 	for _, o := range due {
 		if o.Kind == kind {
@@ -32,47 +32,47 @@
 	return -1
 }
 
-func TestOnDemandReplicasStayUntilTheOthersServe(t *testing.T) {
+func TestOnDemandReplicasStayUntilReplaced(t *testing.T) {
 	b := NewOrders()
 	now := boottime.Instant(time.Hour)
 	o := observed(zone("a", 30, 0))
 	due := b.Due(now, o, mixOf(1, 45))
 	if replicasOf(due, Reclaimable) != 45 || replicasOf(due, OnDemand) != -1 {
-		t.Fatalf("ordered %v, want 45 reclaimable ones and nothing taken away", due)
+		t.Fatalf("ordered %v, want 45 reclaimable replicas and none removed", due)
 	}
 	b.RecordSent(now, due[0], 0)
 	now = now.Add(time.Second)
 	if due := b.Due(now, o, mixOf(1, 45)); len(due) != 0 {
 		t.Errorf("ordered again after a second: %v", due)
 	}
-	// The zone's bound of 60 leaves room for 30 of the 45.
+	// The maximum of 60 for the zone leaves room for 30 of the 45.
 	now = now.Add(3 * time.Second)
 	o = observed(zone("a", 30, 30))
 	due = b.Due(now, o, mixOf(1, 45))
 	if replicasOf(due, OnDemand) != 1 {
-		t.Fatalf("ordered %v, want the on-demand ones away: the zone is full", due)
+		t.Fatalf("ordered %v, want the on-demand replicas removed: the zone is full", due)
 	}
 	b.RecordSent(now, due[0], 30)
 	if due := b.Due(now.Add(time.Second), observed(zone("a", 1, 30)), mixOf(1, 45)); replicasOf(due, Reclaimable) != 45 {
-		t.Errorf("ordered %v, want the rest of the reclaimable ones", due)
+		t.Errorf("ordered %v, want the remaining reclaimable replicas", due)
 	}
 }
 
-func TestNothingIsTakenAwayByOldNews(t *testing.T) {
+func TestStaleObservationRemovesNothing(t *testing.T) {
 	o := observed(zone("a", 30, 60))
-	o.Age = newsAge + time.Second
+	o.Age = maxObservationAge + time.Second
 	if due := NewOrders().Due(boottime.Instant(time.Hour), o, mixOf(1, 30)); len(due) != 0 {
 		t.Errorf("ordered %v", due)
 	}
 }
 
-func TestAnOrderWithoutEffectIsRepeated(t *testing.T) {
+func TestOrderWithoutEffectIsRepeated(t *testing.T) {
 	b := NewOrders()
 	now := boottime.Instant(time.Hour)
 	order := Order{Pool: Pool{Upstream: "model", AvailabilityZone: "a", Kind: Reclaimable}, Replicas: 45}
 	b.RecordSent(now, order, 0)
 	o := observed(zone("a", 1, 20))
-	within := now.Add(o.Scaling.Boot + effectLag - time.Second)
+	within := now.Add(o.Scaling.Boot + registrationDelay - time.Second)
 	if due := b.Due(within, o, mixOf(1, 45)); replicasOf(due, Reclaimable) != -1 {
 		t.Errorf("ordered %v before the effect could show", due)
 	}
@@ -81,23 +81,23 @@
 	}
 }
 
-func TestAZoneThatHasNoneIsLeftAloneForAWhile(t *testing.T) {
+func TestExhaustedZoneBacksOff(t *testing.T) {
 	b := NewOrders()
 	now := boottime.Instant(time.Hour)
 	o := observed(zone("a", 0, 0), zone("b", 0, 30), zone("c", 0, 30))
 	pool := Pool{Upstream: "model", AvailabilityZone: "a", Kind: Reclaimable}
 	b.RecordRefused(now, Order{Pool: pool, Replicas: 30})
-	if dry := b.ExhaustedZones(now.Add(dryFor/2), o); !dry["a"] || dry["b"] {
-		t.Errorf("dry are %v, want a", dry)
+	if dry := b.ExhaustedZones(now.Add(exhaustedBackoff/2), o); !dry["a"] || dry["b"] {
+		t.Errorf("exhausted zones are %v, want a", dry)
 	}
-	if dry := b.ExhaustedZones(now.Add(dryFor), o); len(dry) != 0 {
-		t.Errorf("dry are %v, want none any more", dry)
+	if dry := b.ExhaustedZones(now.Add(exhaustedBackoff), o); len(dry) != 0 {
+		t.Errorf("exhausted zones are %v, want none", dry)
 	}
 }
 
-// TestADryZoneKeepsWhatItHas has a zone refuse the replacement of a few replicas that
-// crashed: those that are left go on.
-func TestADryZoneKeepsWhatItHas(t *testing.T) {
+// TestExhaustedZoneKeepsReplicas guards against removing the remaining replicas of a zone
+// that refused to replace crashed ones.
+func TestExhaustedZoneKeepsReplicas(t *testing.T) {
 	for _, dryZones := range [][]string{{"a"}, {"a", "b", "c"}} {
 		b := NewOrders()
 		now := boottime.Instant(time.Hour)
@@ -106,42 +106,42 @@
 			pool := Pool{Upstream: "model", AvailabilityZone: name, Kind: Reclaimable}
 			b.RecordRefused(now, Order{Pool: pool, Replicas: 44})
 		}
-		mix := portfolio(60, &o.Scaling, o.names(), b.ExhaustedZones(now, o))
+		mix := portfolio(60, &o.Scaling, o.zoneNames(), b.ExhaustedZones(now, o))
 		for _, order := range b.Due(now, o, mix) {
 			if order.Kind == Reclaimable && order.Replicas < o.readyIn(order.Pool) {
-				t.Errorf("dry %v: %d of %d are left in %s", dryZones, order.Replicas, o.readyIn(order.Pool), order.AvailabilityZone)
+				t.Errorf("exhausted %v: %d of %d replicas are left in %s", dryZones, order.Replicas, o.readyIn(order.Pool), order.AvailabilityZone)
 			}
 		}
 	}
 }
 
-// TestOnDemandReplicasStayWhereNoOthersAreToBeHad has a zone refuse the reclaimable replicas
-// that were to replace the on-demand ones.
-func TestOnDemandReplicasStayWhereNoOthersAreToBeHad(t *testing.T) {
+// TestOnDemandReplicasStayWithoutReclaimableCapacity guards against removing on-demand
+// replicas from a zone that refused their reclaimable replacements.
+func TestOnDemandReplicasStayWithoutReclaimableCapacity(t *testing.T) {
 	b := NewOrders()
 	now := boottime.Instant(time.Hour)
 	o := observed(zone("a", 30, 0), zone("b", 30, 30), zone("c", 30, 30))
 	b.RecordRefused(now, Order{Pool: Pool{Upstream: "model", AvailabilityZone: "a", Kind: Reclaimable}, Replicas: 44})
-	mix := portfolio(90, &o.Scaling, o.names(), b.ExhaustedZones(now, o))
+	mix := portfolio(90, &o.Scaling, o.zoneNames(), b.ExhaustedZones(now, o))
 	for _, order := range b.Due(now, o, mix) {
 		if order.AvailabilityZone == "a" && order.Replicas < 30 {
-			t.Errorf("%d of 30 replicas are left in a zone that has no others to give", order.Replicas)
+			t.Errorf("%d of 30 replicas are left in a zone without reclaimable capacity", order.Replicas)
 		}
 	}
 }
 
-// TestOrdersAreFew plays a load that wavers around its mean for five minutes: a replica
-// that leaves takes its cached prompts with it.
-func TestOrdersAreFew(t *testing.T) {
+// TestFluctuatingLoadCausesFewOrders guards against frequent scaling under a fluctuating
+// load, as each removed replica loses its cached prompts.
+func TestFluctuatingLoadCausesFewOrders(t *testing.T) {
 	b := NewOrders()
 	now := boottime.Instant(time.Hour)
 	o := observed(zone("a", 20, 0), zone("b", 20, 0), zone("c", 20, 0))
 	wanted, orders := 60.0, 0
 	for tick := range 600 {
-		now = now.Add(lookEvery)
+		now = now.Add(reconcileInterval)
 		o.Busy = 200 + 150*(tick/20%2)
-		wanted = capacity(wanted, o, lookEvery)
-		mix := portfolio(wanted, &o.Scaling, o.names(), nil)
+		wanted = capacity(wanted, o, reconcileInterval)
+		mix := portfolio(wanted, &o.Scaling, o.zoneNames(), nil)
 		for _, order := range b.Due(now, o, mix) {
 			orders++
 			b.RecordSent(now, order, o.readyIn(order.Pool))
--- a/internal/autoscale/portfolio.go
+++ b/internal/autoscale/portfolio.go
@@ -6,38 +6,38 @@
 	"galenatrestle/internal/route"
 )
 
-// Mix is how many replicas of each kind each availability zone should have. Of a kind
-// that is missing a zone keeps what it has.
+// Mix is the wanted number of replicas by availability zone and kind. If a kind is missing,
+// the zone keeps its current number.
 type Mix map[string]map[Kind]int
 
-// portfolio is the cheapest mix that has the capacity, in replicas, also when all
-// reclaimable ones of any one zone are taken away. Zones in dry have no reclaimable ones
-// to give at the moment: they keep those that they have, and the others take their part.
-func portfolio(capacity float64, s *route.Scaling, zones []string, dry map[string]bool) Mix {
-	mix := cheapest(capacity, s, zones, dry)
-	for zone := range dry {
+// portfolio returns the cheapest mix that still has the capacity, in replicas, after any one
+// zone loses all its reclaimable replicas. Exhausted zones keep the reclaimable replicas
+// that they have, and the other zones make up for the rest.
+func portfolio(capacity float64, s *route.Scaling, zones []string, exhausted map[string]bool) Mix {
+	mix := cheapest(capacity, s, zones, exhausted)
+	for zone := range exhausted {
 		delete(mix[zone], Reclaimable)
 	}
 	return mix
 }
 
-// cheapest is the mix of the least price, with reclaimable replicas from all zones that
-// have any to give.
-func cheapest(capacity float64, s *route.Scaling, zones []string, dry map[string]bool) Mix {
+// cheapest returns the mix with the lowest price. Reclaimable replicas are spread over the
+// zones that are not exhausted.
+func cheapest(capacity float64, s *route.Scaling, zones []string, exhausted map[string]bool) Mix {
 	if s.ReclaimablePrice <= 0 || len(zones) == 1 {
 		return onDemand(capacity, s, zones)
 	}
-	var wet []string
+	var available []string
 	for _, zone := range zones {
-		if !dry[zone] {
-			wet = append(wet, zone)
+		if !exhausted[zone] {
+			available = append(available, zone)
 		}
 	}
-	// Before any zone is lost each has its part of what remains without the largest;
-	// where one is lost already the others take its part.
-	spread := max(min(len(zones)-1, len(wet)), 1)
-	each := bounded(max(capacity/float64(spread), capacity*spare(s)/float64(len(zones))), s)
-	if reclaimablePrice(each, s, wet) >= onDemandPrice(capacity, s, zones) || len(wet) == 0 {
+	// Size each zone so that the others can carry the capacity if one is lost. If a zone is
+	// already exhausted, the remaining ones carry its share.
+	spread := max(min(len(zones)-1, len(available)), 1)
+	each := bounded(max(capacity/float64(spread), capacity*spareRatio(s)/float64(len(zones))), s)
+	if reclaimablePrice(each, s, available) >= onDemandPrice(capacity, s, zones) || len(available) == 0 {
 		return onDemand(capacity, s, zones)
 	}
 	mix := make(Mix)
@@ -47,12 +47,12 @@
 	return mix
 }
 
-// spare is how many reclaimable replicas are worth having for each on-demand one. Waiting
-// falls about as the number of replicas grows, and their price grows with it: the sum of
-// both is least where the number is the inverse root of the price.
-func spare(s *route.Scaling) float64 { return 1 / math.Sqrt(s.ReclaimablePrice) }
+// spareRatio returns how many reclaimable replicas to run per on-demand one. Waiting time
+// falls roughly as 1/n and cost grows linearly with n, so the sum is smallest at the
+// inverse square root of the price.
+func spareRatio(s *route.Scaling) float64 { return 1 / math.Sqrt(s.ReclaimablePrice) }
 
-// onDemand spreads the capacity evenly, so that a zone that fails is one part of it.
+// onDemand spreads the capacity evenly over the zones, to limit the loss if one fails.
 func onDemand(capacity float64, s *route.Scaling, zones []string) Mix {
 	mix := make(Mix)
 	for _, zone := range zones {
@@ -61,7 +61,7 @@
 	return mix
 }
 
-// bounded is the whole number of replicas within the bounds of one zone.
+// bounded rounds the number of replicas up and clamps it to the limits of one zone.
 func bounded(replicas float64, s *route.Scaling) int {
 	return min(max(int(math.Ceil(replicas)), s.Min), s.Max)
 }
--- a/internal/autoscale/portfolio_test.go
+++ b/internal/autoscale/portfolio_test.go
@@ -10,7 +10,7 @@
 	return &route.Scaling{Min: 1, Max: 60, ReclaimablePrice: price, ZonePrices: map[string]float64{"a": 1, "b": 0.8, "c": 1.25}}
 }
 
-func TestCheapReplicasCoverTheLossOfAnyZone(t *testing.T) {
+func TestReclaimableReplicasCoverLossOfAnyZone(t *testing.T) {
 	s := scaling(0.2)
 	mix := portfolio(60, s, s.Zones(), nil)
 	for _, lost := range s.Zones() {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestReplicasThatAreHardlyCheaperAreNotWorthTheirSpares(t *testing.T) {
+func TestSmallDiscountUsesOnDemandOnly(t *testing.T) {
 	s := scaling(0.9)
 	for zone, kinds := range portfolio(60, s, s.Zones(), nil) {
 		if kinds[Reclaimable] != 0 || kinds[OnDemand] != 20 {
@@ -36,18 +36,18 @@
 	}
 }
 
-func TestTheOtherZonesTakeTheLoadOfOneThatHasNone(t *testing.T) {
+func TestOtherZonesReplaceExhaustedZone(t *testing.T) {
 	s := scaling(0.2)
 	mix := portfolio(60, s, s.Zones(), map[string]bool{"b": true})
 	if replicas, ordered := mix["b"][Reclaimable]; ordered {
-		t.Errorf("%d are ordered where there are none", replicas)
+		t.Errorf("%d replicas are ordered in an exhausted zone", replicas)
 	}
 	if got := mix["a"][Reclaimable] + mix["c"][Reclaimable]; got < 58 {
 		t.Errorf("%d in the other zones, want the capacity of 60", got)
 	}
 }
 
-func TestNoZoneHasMoreThanItMay(t *testing.T) {
+func TestZoneLimitsAreRespected(t *testing.T) {
 	s := scaling(0.2)
 	for _, capacity := range []float64{0, 1, 500} {
 		for zone, kinds := range portfolio(capacity, s, s.Zones(), nil) {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestOneZoneHasNoSpareToLose(t *testing.T) {
+func TestSingleZoneUsesOnDemandOnly(t *testing.T) {
 	s := &route.Scaling{Min: 1, Max: 60, ReclaimablePrice: 0.1, ZonePrices: map[string]float64{"a": 1}}
 	if mix := portfolio(10, s, s.Zones(), nil); mix["a"][OnDemand] != 10 || mix["a"][Reclaimable] != 0 {
 		t.Errorf("%v, want 10 on demand", mix)
--- a/internal/autoscale/scaler.go
+++ b/internal/autoscale/scaler.go
@@ -17,76 +17,75 @@
 )
 
 const (
-	// recordKey is the store's key of the record.
 	recordKey = "trestle/duties/replicas"
-	// lookEvery is how often the holder looks at what is wanted.
-	lookEvery = 500 * time.Millisecond
-	// savePart is the change of a capacity, as a part of it, from which it is written.
-	savePart = 0.1
-	// callTimeout bounds one call of the store.
+	// reconcileInterval is the time between two evaluations of the wanted capacity.
+	reconcileInterval = 500 * time.Millisecond
+	// saveThreshold is the relative change of a capacity above which it is saved.
+	saveThreshold = 0.1
+	// callTimeout limits one store call.
 	callTimeout = 900 * time.Millisecond
 )
 
-// Options are what a Scaler works with.
+// Options configures a Scaler.
 type Options struct {
 	Store    duty.Store
 	Platform Platform
-	// Observe tells of the upstreams whose replicas may be ordered; none as long as too
-	// little is known.
+	// Observe returns the upstreams that may be scaled. It returns none until enough is
+	// known about their replicas.
 	Observe func() []Observation
-	// FirstStart says that the whole system starts for the first time: no replica is
-	// there that this system has ordered.
+	// FirstStart is set when the whole system starts for the first time, so that no
+	// replicas from its earlier orders exist.
 	FirstStart bool
 	Clock      boottime.Clock
 	Log        *eventlog.Log
 	Metrics    *Metrics
 }
 
-// Scaler is the duty of ordering replicas. It implements duty.Work.
+// Scaler orders replicas while its node holds the duty lease. It implements duty.Work.
 type Scaler struct{ options Options }
 
-// New returns a scaler.
+// New returns a Scaler.
 func New(options Options) *Scaler { return &Scaler{options: options} }
 
 // Run implements duty.Work.
 func (s *Scaler) Run(ctx context.Context, term duty.Term) {
-	session := &session{options: s.options, term: term, orders: NewOrders(), arrivals: make(map[string]*arrivals)}
+	session := &session{options: s.options, term: term, orders: NewOrders(), registrations: make(map[string]*registrations)}
 	for ctx.Err() == nil && !session.fenced {
-		session.look(ctx)
-		if ctxtime.Sleep(ctx, lookEvery) != nil {
+		session.reconcile(ctx)
+		if ctxtime.Sleep(ctx, reconcileInterval) != nil {
 			return
 		}
 	}
 }
 
-// session is the work of one term. It is for one goroutine.
+// session is the state of one lease term. It is not safe for concurrent use.
 type session struct {
 	options Options
 	term    duty.Term
 	orders  *Orders
-	// arrivals are those of the upstreams that have no capacity yet.
-	arrivals map[string]*arrivals
-	// record is nil until it was read; revision is that of its key.
+	// registrations is keyed by upstream, for those without a wanted capacity.
+	registrations map[string]*registrations
+	// record is nil until it is read; revision is the revision of its key.
 	record   *Record
 	revision int64
-	// saved is the record as it was written, lookedAt the time of the last look.
-	saved    map[string]float64
-	lookedAt boottime.Instant
-	// fenced: a later holder was seen, and this one orders nothing more.
+	// saved is the capacity last written, reconciledAt the time of the last reconcile.
+	saved        map[string]float64
+	reconciledAt boottime.Instant
+	// fenced is set once a later holder has ordered; this one then stops ordering.
 	fenced bool
 }
 
-// look orders what is due.
-func (s *session) look(ctx context.Context) {
+// reconcile sends the orders that are due and saves the wanted capacity.
+func (s *session) reconcile(ctx context.Context) {
 	if s.record == nil && !s.load(ctx) {
 		return
 	}
 	now := s.options.Clock()
-	passed := now.Sub(s.lookedAt)
-	if s.lookedAt == 0 {
+	passed := now.Sub(s.reconciledAt)
+	if s.reconciledAt == 0 {
 		passed = 0
 	}
-	s.lookedAt = now
+	s.reconciledAt = now
 	for _, o := range s.options.Observe() {
 		wanted, known := s.want(now, &o, passed)
 		switch {
@@ -99,13 +98,13 @@
 	s.save(ctx)
 }
 
-// want is the capacity that is wanted of the upstream from now on. Until the replicas of
-// a fleet's start have registered it is not known: an order by what is there would take
-// those away that are not seen yet.
+// want updates and returns the wanted capacity of the upstream. It is unknown until the
+// registrations at fleet start are stable: an earlier order would remove replicas that have
+// not registered yet.
 func (s *session) want(now boottime.Instant, o *Observation, passed time.Duration) (wanted float64, known bool) {
 	before, known := s.record.Capacity[o.Upstream]
 	if !known {
-		if before, known = s.arrivalsOf(o.Upstream).present(now, o); !known {
+		if before, known = s.registrationsOf(o.Upstream).stableCapacity(now, o); !known {
 			return 0, false
 		}
 	}
@@ -114,34 +113,33 @@
 	return wanted, true
 }
 
-func (s *session) arrivalsOf(upstream string) *arrivals {
-	a, ok := s.arrivals[upstream]
+func (s *session) registrationsOf(upstream string) *registrations {
+	a, ok := s.registrations[upstream]
 	if !ok {
-		a = &arrivals{}
-		s.arrivals[upstream] = a
+		a = &registrations{}
+		s.registrations[upstream] = a
 	}
 	return a
 }
 
-// order sends the orders that are due for an upstream.
 func (s *session) order(ctx context.Context, now boottime.Instant, o *Observation, wanted float64) {
-	mix := portfolio(wanted, &o.Scaling, o.names(), s.orders.ExhaustedZones(now, o))
+	mix := portfolio(wanted, &o.Scaling, o.zoneNames(), s.orders.ExhaustedZones(now, o))
 	s.send(ctx, now, o, wanted, s.orders.Due(now, o, mix))
 }
 
-// orderEarly orders reclaimable replicas for those that have registered so far, so that
-// they serve when the first callers come. At a fleet's first start nobody has ordered any
-// before, and a later order only adds to the earlier one.
+// orderEarly orders reclaimable replicas for the on-demand ones registered so far, so that
+// they are ready for the first requests. This is safe at the first start only, when no
+// reclaimable replicas were ordered before; later orders only raise the number.
 func (s *session) orderEarly(ctx context.Context, now boottime.Instant, o *Observation) {
 	seen := float64(o.ready(OnDemand))
 	if seen == 0 {
 		return
 	}
-	mix := portfolio(seen, &o.Scaling, o.names(), s.orders.ExhaustedZones(now, o))
+	mix := portfolio(seen, &o.Scaling, o.zoneNames(), s.orders.ExhaustedZones(now, o))
 	s.send(ctx, now, o, seen, s.orders.More(o, mix))
 }
 
-// send sends orders until the duties end.
+// send sends the orders until the lease is lost or a later holder is detected.
 func (s *session) send(ctx context.Context, now boottime.Instant, o *Observation, wanted float64, due []Order) {
 	for _, order := range due {
 		if !s.term.Held() || s.fenced {
@@ -161,7 +159,8 @@
 	}
 }
 
-// load reads what the last holder wanted; it reports whether that is known.
+// load reads the stored record and reports whether it succeeded. A missing or malformed
+// record counts as empty.
 func (s *session) load(ctx context.Context) bool {
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -184,8 +183,8 @@
 	return true
 }
 
-// save writes what is wanted where it has changed by much, unless another node holds the
-// duty. Where the write's outcome is not known the record is read again.
+// save writes the capacities if one changed by more than saveThreshold, on condition that
+// the lease is still held. After an error the outcome is unknown, so the record is reread.
 func (s *session) save(ctx context.Context) {
 	if !s.worthSaving() {
 		return
@@ -211,7 +210,7 @@
 
 func (s *session) worthSaving() bool {
 	for name, value := range s.record.Capacity {
-		if math.Abs(value-s.saved[name]) > savePart*value {
+		if math.Abs(value-s.saved[name]) > saveThreshold*value {
 			return true
 		}
 	}
--- a/internal/autoscale/scaler_test.go
+++ b/internal/autoscale/scaler_test.go
@@ -21,25 +21,25 @@
 	"galenatrestle/internal/platform"
 )
 
-// cloud is a platform that carries orders out, inside a synctest bubble.
-type cloud struct {
+// fakePlatform carries out orders after a boot delay, inside a synctest bubble.
+type fakePlatform struct {
 	mu    sync.Mutex
 	zones map[string]map[Kind]int
-	// dry zones have no reclaimable replicas to give.
-	dry    map[string]bool
-	least  int
-	orders int
+	// exhausted zones have no reclaimable capacity.
+	exhausted map[string]bool
+	least     int
+	orders    int
 }
 
 const bootTime = 4 * time.Second
 
 // Order implements Platform.
-func (c *cloud) Order(_ context.Context, _ duty.Term, o Order) error {
+func (c *fakePlatform) Order(_ context.Context, _ duty.Term, o Order) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.orders++
 	have := c.zones[o.AvailabilityZone]
-	if o.Kind == Reclaimable && o.Replicas > have[Reclaimable] && c.dry[o.AvailabilityZone] {
+	if o.Kind == Reclaimable && o.Replicas > have[Reclaimable] && c.exhausted[o.AvailabilityZone] {
 		return fmt.Errorf("order: %w", platform.ErrConflict)
 	}
 	if o.Replicas < have[o.Kind] {
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// note remembers the fewest replicas that there ever were. The lock is held.
-func (c *cloud) note() {
+// note updates the lowest total replica count. c.mu must be held.
+func (c *fakePlatform) note() {
 	all := 0
 	for _, kinds := range c.zones {
 		all += kinds[OnDemand] + kinds[Reclaimable]
@@ -68,8 +68,8 @@
 	c.least = min(c.least, all)
 }
 
-// observation is what is registered of the first part of the replicas.
-func (c *cloud) observation(part float64, busy int) Observation {
+// observation returns the platform state with only the given fraction of each pool registered.
+func (c *fakePlatform) observation(part float64, busy int) Observation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := Observation{Upstream: "model", Scaling: *scaling(0.2), Slots: 16, Busy: busy}
@@ -84,22 +84,22 @@
 	return o
 }
 
-// reclaim takes the zone's reclaimable replicas away, until wet is called.
-func (c *cloud) reclaim(zone string) {
+// reclaim removes the zone's reclaimable replicas and refuses new ones until restore is called.
+func (c *fakePlatform) reclaim(zone string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.zones[zone][Reclaimable] = 0
-	c.dry[zone] = true
+	c.exhausted[zone] = true
 }
 
-func (c *cloud) wet(zone string) {
+func (c *fakePlatform) restore(zone string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dry[zone] = false
+	c.exhausted[zone] = false
 }
 
-// now is the replicas of each zone.
-func (c *cloud) now() map[string]map[Kind]int {
+// now returns a copy of the replica counts by zone.
+func (c *fakePlatform) now() map[string]map[Kind]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	zones := make(map[string]map[Kind]int, len(c.zones))
@@ -109,22 +109,22 @@
 	return zones
 }
 
-func newCloud(each int) *cloud {
-	c := &cloud{zones: make(map[string]map[Kind]int), dry: make(map[string]bool), least: 3 * each}
+func newCloud(each int) *fakePlatform {
+	c := &fakePlatform{zones: make(map[string]map[Kind]int), exhausted: make(map[string]bool), least: 3 * each}
 	for _, name := range []string{"a", "b", "c"} {
 		c.zones[name] = map[Kind]int{OnDemand: each}
 	}
 	return c
 }
 
-// play has a scaler work for a while; observe is what it sees after so long.
-func play(t *testing.T, c *cloud, store duty.Store, span time.Duration, observe func(time.Duration) []Observation) {
+// runScaler runs a scaler for span. observe is called with the time since its start.
+func runScaler(t *testing.T, c *fakePlatform, store duty.Store, span time.Duration, observe func(time.Duration) []Observation) {
 	t.Helper()
-	playStart(t, c, store, span, false, observe)
+	runScalerAtStart(t, c, store, span, false, observe)
 }
 
-// playStart is play, at a fleet's first start where first is set.
-func playStart(t *testing.T, c *cloud, store duty.Store, span time.Duration, first bool, observe func(time.Duration) []Observation) {
+// runScalerAtStart is runScaler with Options.FirstStart set to first.
+func runScalerAtStart(t *testing.T, c *fakePlatform, store duty.Store, span time.Duration, first bool, observe func(time.Duration) []Observation) {
 	t.Helper()
 	began := time.Now()
 	s := New(Options{
@@ -142,8 +142,8 @@
 	}
 }
 
-// held is a store in which the holder's key has the term's fence.
-func held(t *testing.T) duty.Store {
+// newHolderStore returns a store in which the revision of the holder's key is the term's fence.
+func newHolderStore(t *testing.T) duty.Store {
 	store := dutytest.NewStore(1)
 	if _, err := store.Commit(t.Context(), platform.Transaction{Writes: []platform.Write{{Key: "holder"}}}); err != nil {
 		t.Fatal(err)
@@ -151,13 +151,13 @@
 	return store
 }
 
-// TestReplicasThatAreNotSeenYetAreNotOrderedAway is a fleet's start: registrations come one
-// after the other, the first ones when the duties are held already.
-func TestReplicasThatAreNotSeenYetAreNotOrderedAway(t *testing.T) {
+// TestUnregisteredReplicasAreNotRemoved guards against removing replicas that have not
+// registered yet when a fleet starts.
+func TestUnregisteredReplicasAreNotRemoved(t *testing.T) {
 	for _, firstAfter := range []time.Duration{0, time.Second, 5 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCloud(30)
-			playStart(t, c, held(t), 40*time.Second, firstAfter > 0, func(passed time.Duration) []Observation {
+			runScalerAtStart(t, c, newHolderStore(t), 40*time.Second, firstAfter > 0, func(passed time.Duration) []Observation {
 				part := float64(passed-firstAfter) / float64(3*time.Second)
 				return []Observation{c.observation(min(max(part, 0), 1), 0)}
 			})
@@ -166,41 +166,41 @@
 			}
 			for zone, kinds := range c.now() {
 				if kinds[OnDemand] != 1 || kinds[Reclaimable] < 44 {
-					t.Errorf("first seen after %s: zone %s ends with %v, want the on-demand ones replaced", firstAfter, zone, kinds)
+					t.Errorf("first seen after %s: zone %s ends with %v, want the on-demand replicas replaced", firstAfter, zone, kinds)
 				}
 			}
 		})
 	}
 }
 
-// TestTheNextHolderGoesOnFromWhatWasWanted takes the duties over while a zone's
-// reclaimable replicas have been taken away.
-func TestTheNextHolderGoesOnFromWhatWasWanted(t *testing.T) {
+// TestNextHolderResumesWantedCapacity guards against a new holder shrinking the capacity
+// after a zone lost its reclaimable replicas.
+func TestNextHolderResumesWantedCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCloud(30)
-		store := held(t)
+		store := newHolderStore(t)
 		all := func(time.Duration) []Observation { return []Observation{c.observation(1, 0)} }
-		play(t, c, store, 30*time.Second, all)
+		runScaler(t, c, store, 30*time.Second, all)
 		before := c.now()["a"][Reclaimable]
 		c.reclaim("b")
-		play(t, c, store, 10*time.Second, all)
+		runScaler(t, c, store, 10*time.Second, all)
 		if got := c.now()["a"][Reclaimable]; got < before {
 			t.Errorf("%d reclaimable replicas in a zone that lost none, want the %d of before", got, before)
 		}
-		c.wet("b")
-		play(t, c, store, 10*time.Second, all)
+		c.restore("b")
+		runScaler(t, c, store, 10*time.Second, all)
 		if got := c.now()["b"][Reclaimable]; got < before-5 {
 			t.Errorf("%d reclaimable replicas are back in the zone that lost them, want about %d", got, before)
 		}
 	})
 }
 
-// TestAFirstStartIsReadyForTheFirstCallers gives the time until reclaimable replicas serve
-// beside those that were there, where callers come some ten seconds after the nodes.
-func TestAFirstStartIsReadyForTheFirstCallers(t *testing.T) {
+// TestFirstStartOrdersReclaimableEarly guards against reclaimable replicas being too late
+// for the first requests, which come about ten seconds after the nodes.
+func TestFirstStartOrdersReclaimableEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCloud(30)
-		playStart(t, c, held(t), 4*time.Second, true, func(passed time.Duration) []Observation {
+		runScalerAtStart(t, c, newHolderStore(t), 4*time.Second, true, func(passed time.Duration) []Observation {
 			part := float64(passed) / float64(3*time.Second)
 			return []Observation{c.observation(min(part, 1), 0)}
 		})
@@ -212,26 +212,26 @@
 	})
 }
 
-func TestOldNewsAreNoReplicasThatStand(t *testing.T) {
+func TestStaleObservationIsNotStable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCloud(30)
-		play(t, c, held(t), 20*time.Second, func(time.Duration) []Observation {
+		runScaler(t, c, newHolderStore(t), 20*time.Second, func(time.Duration) []Observation {
 			o := c.observation(0.1, 0)
-			o.Age = newsAge + time.Second
+			o.Age = maxObservationAge + time.Second
 			return []Observation{o}
 		})
 		if c.orders != 0 {
-			t.Errorf("%d orders by news of %s ago", c.orders, newsAge+time.Second)
+			t.Errorf("%d orders from an observation of age %s", c.orders, maxObservationAge+time.Second)
 		}
 	})
 }
 
-func TestAStoreThatIsDownOrdersNothing(t *testing.T) {
+func TestUnavailableStoreOrdersNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCloud(30)
 		store := dutytest.NewStore(1)
 		store.SetFaults(dutytest.StoreFaults{Down: true})
-		play(t, c, store, 20*time.Second, func(time.Duration) []Observation { return []Observation{c.observation(1, 0)} })
+		runScaler(t, c, store, 20*time.Second, func(time.Duration) []Observation { return []Observation{c.observation(1, 0)} })
 		if c.orders != 0 {
 			t.Errorf("%d orders", c.orders)
 		}
