--- a/internal/order/discipline.go
+++ b/internal/order/discipline.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// LeaseTiming holds the times that keep an old and a new holder of a pool's
-// lease apart at engines that ignore fencing.
+// LeaseTiming holds the time limits that keep the orders of an old and a new lease holder
+// apart at engines that ignore fencing.
 type LeaseTiming struct {
-	// LeaseTTL is the length of the pool's lease as the platform grants it.
+	// LeaseTTL is the duration of the pool's lease as granted by the platform.
 	LeaseTTL time.Duration
-	// ClockError is the most by which two clocks that measure LeaseTTL differ.
+	// ClockError is the maximum difference between two clocks that measure LeaseTTL.
 	ClockError time.Duration
-	// LongestOrder is the longest time from an order's last check to its taking
-	// effect at the engine; it is also the time limit of one order.
+	// LongestOrder is the maximum time from the last check of an order until it takes effect
+	// at the engine. It is also the timeout of one order.
 	LongestOrder time.Duration
-	// StopMargin is how long before the end of its lease a holder stops.
+	// StopMargin is how long before the end of the lease the holder stops sending orders.
 	StopMargin time.Duration
-	// DetectPause is the longest gap between two looks at the clock that does
-	// not count as a pause.
+	// DetectPause is the maximum time between two heartbeats; a longer gap counts as a
+	// process pause.
 	DetectPause time.Duration
 }
 
-// DefaultLeaseTiming returns the discipline for a lease of the given length.
+// DefaultLeaseTiming returns the timing for a lease of the given duration.
 func DefaultLeaseTiming(ttl time.Duration) LeaseTiming {
 	return LeaseTiming{
 		LeaseTTL:     ttl,
@@ -33,7 +33,7 @@
 	}
 }
 
-// Check returns an error where the times don't keep two holders apart.
+// Check returns an error if the times can't keep two holders apart.
 func (d LeaseTiming) Check() error {
 	if d.LeaseTTL <= 0 || d.LongestOrder <= 0 || d.DetectPause <= 0 {
 		return fmt.Errorf("order: lease of %s, longest order of %s and pause of %s must be above zero", d.LeaseTTL, d.LongestOrder, d.DetectPause)
@@ -44,9 +44,9 @@
 	return nil
 }
 
-// handOverWait is how long a new holder waits before its first order to an
-// engine that ignores fencing: the old lease may have been taken from its
-// holder before its time, so it counts in full from the new grant.
+// handOverWait returns how long a new holder waits before its first order to an engine that
+// ignores fencing. The platform may have ended the old lease early, so its full duration
+// is counted from the new grant.
 func (d LeaseTiming) handOverWait() time.Duration {
 	return d.LeaseTTL + d.ClockError + d.LongestOrder
 }
--- a/internal/order/doc.go
+++ b/internal/order/doc.go
@@ -1,14 +1,13 @@
-// Package order sends orders to engines: load, unload, change of role. An
-// order leaves only from the holder of the pool's duty lease, with the lease's
-// epoch as fencing number.
+// Package order sends orders to engines: load a model, unload one, or change the role. Only
+// the holder of the pool's duty lease sends orders, with the lease epoch as fencing token.
 //
-// Engines that honour fencing refuse an old holder themselves. For those that
-// ignore it, Discipline keeps two holders apart by time: a new holder waits out
-// the old lease, the largest clock error and the longest order in flight before
-// its first order; the old one stops by its own monotonic clock well before the
-// end, and a guard on the connection itself stops a write after a pause.
+// Engines that honour fencing reject an old holder themselves. For engines that ignore it,
+// LeaseTiming separates two holders by time: a new holder waits for the old lease, the
+// maximum clock error and the longest order in flight before its first order. The old
+// holder stops before the end of its lease by its own monotonic clock, and a guard on the
+// connection blocks writes after a process pause.
 //
-// It holds soft state only (the grant this process has); the lease is hard
-// state of the platform's service. In a platform outage a grant runs out after
-// its lease's length and no order leaves until it is granted again.
+// The package keeps only the current grant, in memory; the platform stores the lease. In a
+// platform outage the grant expires with the lease, and no order is sent until the lease is
+// acquired or renewed again.
 package order
--- a/internal/order/errors.go
+++ b/internal/order/errors.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// HoldReason says why an order is held back.
+// HoldReason is the reason for not sending an order.
 type HoldReason string
 
-// The reasons to hold an order back.
+// Reasons for not sending an order.
 const (
 	ReasonNoLease     HoldReason = "no_lease"
 	ReasonLeaseEnding HoldReason = "lease_ending"
@@ -18,10 +18,10 @@
 	ReasonWeights     HoldReason = "weight_store_rate"
 )
 
-// HoldError says that an order did not leave.
+// HoldError reports that an order was not sent.
 type HoldError struct {
 	Reason HoldReason
-	// For is how long the reason will last, where that is known.
+	// For is the remaining time of the hold, or zero if unknown.
 	For time.Duration
 }
 
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("order: held back: %s for %s", e.Reason, e.For)
 }
 
-// ErrNoOrders says that the engine takes no orders and does not tell its state.
+// ErrNoOrders reports that the engine does not support orders or reading their state.
 var ErrNoOrders = errors.New("order: the engine takes no orders")
 
-// ErrFenced says that the engine has seen a higher epoch.
+// ErrFenced reports that the engine has seen a higher epoch.
 var ErrFenced = errors.New("order: refused by the engine: its epoch is higher")
--- a/internal/order/grant.go
+++ b/internal/order/grant.go
@@ -6,25 +6,24 @@
 	"galenatrestle/internal/platform"
 )
 
-// Grant is the right to order, as one process knows it. Its times must carry
-// the monotonic clock of this process. It is a value: the zero Grant permits
-// nothing.
+// Grant is this process's view of the lease that permits orders. Its times must carry the
+// monotonic clock reading of this process. The zero Grant permits nothing.
 type Grant struct {
-	// Epoch is the lease's epoch, sent as the fencing number.
+	// Epoch is the lease epoch, sent as the fencing token.
 	Epoch int64
-	// Since is when the first grant at this epoch was known here.
+	// Since is when this process learned of the first grant at this epoch.
 	Since time.Time
-	// Asked is when the newest acquire or renewal was sent: the platform can't
-	// have granted it earlier.
+	// Asked is when the latest acquire or renewal was sent. The platform can't have granted
+	// it earlier, so the lease lasts at least LeaseTTL from then.
 	Asked time.Time
-	// LastHeartbeat is when the holder last looked at the clock.
+	// LastHeartbeat is the time of the latest renewal or heartbeat.
 	LastHeartbeat time.Time
-	// Paused says that a pause was detected since the newest renewal.
+	// Paused is set if a process pause was detected since the latest renewal.
 	Paused bool
 }
 
-// Renewed returns the grant after an acquire or a renewal that was asked for
-// at asked and answered at now.
+// Renewed returns the grant after an acquire or renewal that was sent at asked and answered
+// at now.
 func (g Grant) Renewed(lease platform.Lease, asked, now time.Time) Grant {
 	next := Grant{Epoch: lease.Epoch, Since: now, Asked: asked, LastHeartbeat: now}
 	if lease.Epoch == g.Epoch {
@@ -33,7 +32,8 @@
 	return next
 }
 
-// WithHeartbeat notes a look at the clock; a long gap since the last one is a pause.
+// WithHeartbeat returns the grant after a heartbeat at now. A gap above DetectPause marks it
+// as paused.
 func (g Grant) WithHeartbeat(d LeaseTiming, now time.Time) Grant {
 	if now.Sub(g.LastHeartbeat) > d.DetectPause {
 		g.Paused = true
@@ -42,7 +42,7 @@
 	return g
 }
 
-// Check returns nil where an order may leave at now, else a *HoldError.
+// Check returns nil if an order may be sent at now, else a *HoldError.
 func (g Grant) Check(d LeaseTiming, honoursFencing bool, now time.Time) error {
 	if g.Epoch == 0 {
 		return &HoldError{Reason: ReasonNoLease}
--- a/internal/order/http.go
+++ b/internal/order/http.go
@@ -14,12 +14,11 @@
 	"galenatrestle/internal/openai"
 )
 
-// maxStateBytes bounds the answer of GET /orders.
+// maxStateBytes limits the response body of GET /orders.
 const maxStateBytes = 1 << 20
 
-// HTTPTransport sends orders by HTTP. Each order has a connection of its own,
-// whose writes are guarded: what a pause holds back after the connection is
-// made does not leave when the process goes on.
+// HTTPTransport sends orders over HTTP. Each order uses its own connection and checks the
+// guard before each write, so that no order is sent late after a process pause.
 type HTTPTransport struct {
 	dialer net.Dialer
 	reader *http.Client
@@ -32,7 +31,7 @@
 	return t
 }
 
-// guardedConn asks the guard directly before each write.
+// guardedConn calls the guard before each write.
 type guardedConn struct {
 	net.Conn
 	guard Guard
@@ -46,9 +45,9 @@
 	return c.Conn.Write(p)
 }
 
-// guarded returns a client for one order. It is not shared: a shared one may
-// hand a connection made for one request to another.
-func (t *HTTPTransport) guarded(guard Guard) *http.Client {
+// guardedClient returns a client for one order. It must not be shared, as a shared client
+// may use a connection dialled for one request, with its guard, for another.
+func (t *HTTPTransport) guardedClient(guard Guard) *http.Client {
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := t.dialer.DialContext(ctx, network, address)
 		if err != nil {
@@ -65,14 +64,14 @@
 	if err != nil {
 		return err
 	}
-	// The guard's own error is kept: the client may wrap it out of sight.
+	// The client may wrap the error of the guard, so it is kept separately.
 	var held atomic.Pointer[HoldError]
-	client := t.guarded(func() error { return keep(&held, guard()) })
+	client := t.guardedClient(func() error { return recordHold(&held, guard()) })
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target.Address+"/orders", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	// Without GetBody the client can't send the order a second time by itself.
+	// Without GetBody the client cannot resend the order.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	response, err := client.Do(request)
@@ -108,7 +107,7 @@
 	return state, err
 }
 
-func keep(held *atomic.Pointer[HoldError], err error) error {
+func recordHold(held *atomic.Pointer[HoldError], err error) error {
 	var hold *HoldError
 	if errors.As(err, &hold) {
 		held.Store(hold)
--- a/internal/order/orderplan/actor.go
+++ b/internal/order/orderplan/actor.go
@@ -11,13 +11,13 @@
 	"galenatrestle/internal/order"
 )
 
-// Kinds are the kinds of step that the Actor carries out.
+// Kinds are the step kinds that Actor carries out.
 var Kinds = []intent.StepKind{intent.StepOrderLoad, intent.StepOrderUnload, intent.StepOrderRole}
 
 // Actor implements intent.Actor for orders to engines.
 type Actor struct {
 	sender *order.Sender
-	// configuration returns the one in force, nil before the first.
+	// configuration returns the current configuration, or nil before the first one.
 	configuration func() *config.Index
 }
 
@@ -43,8 +43,8 @@
 	return intent.Progress{Wait: "the engine does not report the state yet"}, nil
 }
 
-// Undo implements intent.Actor. What the engine had before is not known, so
-// nothing is ordered back: the operator asks for the state wanted.
+// Undo implements intent.Actor. The engine's previous state is not known, so nothing is
+// reverted; the operator has to request the wanted state.
 func (a *Actor) Undo(context.Context, intent.Task) (intent.Progress, error) {
 	return intent.Progress{Done: true}, nil
 }
--- a/internal/order/orderplan/actor_test.go
+++ b/internal/order/orderplan/actor_test.go
@@ -38,7 +38,7 @@
 	return intent.Task{Plan: &intent.Plan{Intent: in}, Step: intent.Step{Kind: kind, Target: replica}}
 }
 
-func TestOrdersReachTheEngineUnderTheLease(t *testing.T) {
+func TestOrdersRequireLease(t *testing.T) {
 	actor, sender := newTestActor(t, 1000)
 	load := task(intent.StepOrderLoad, "r0", intent.Intent{Model: "adapter", Version: "2"})
 	progress, err := actor.Do(t.Context(), load)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestAReplicaThatIsGoneFailsThePlan(t *testing.T) {
+func TestUnconfiguredReplicaFailsPlan(t *testing.T) {
 	actor, _ := newTestActor(t, 1000)
 	_, err := actor.Do(t.Context(), task(intent.StepOrderLoad, "r9", intent.Intent{Model: "m"}))
 	var fatal *intent.FatalError
--- a/internal/order/sender.go
+++ b/internal/order/sender.go
@@ -18,21 +18,21 @@
 	HonoursFencing bool
 }
 
-// Guard is called directly before each write of an order to the connection;
-// an error of it must keep the write from happening.
+// Guard is called before each write of an order to the connection. The write must not
+// happen if it returns an error.
 type Guard func() error
 
-// Transport carries orders to engines.
+// Transport sends orders to engines and reads their state.
 type Transport interface {
-	// Send delivers the order, calling guard before each write. It returns
-	// ErrFenced where the engine refuses the epoch.
+	// Send sends the order, calling guard before each write. It returns ErrFenced if the
+	// engine rejects the epoch.
 	Send(ctx context.Context, target Target, order openai.Order, guard Guard) error
-	// State reads the engine's state back.
+	// State returns the state reported by the engine.
 	State(ctx context.Context, target Target) (openai.OrderState, error)
 }
 
-// Sender brings engines of one pool to desired states, as long as this process
-// holds the pool's lease. It is safe for concurrent use.
+// Sender moves the engines of one pool to their desired states while this process holds the
+// pool's lease. It is safe for concurrent use.
 type Sender struct {
 	transport  Transport
 	weights    platform.Weights
@@ -44,8 +44,8 @@
 	grant Grant
 }
 
-// NewSender returns a Sender without a grant. now must carry the monotonic
-// clock, as time.Now does.
+// NewSender returns a Sender without a grant. now must carry a monotonic clock reading, as
+// time.Now does.
 func NewSender(transport Transport, weights platform.Weights, d LeaseTiming, metrics *Metrics, now func() time.Time) (*Sender, error) {
 	if err := d.Check(); err != nil {
 		return nil, err
@@ -53,33 +53,31 @@
 	return &Sender{transport: transport, weights: weights, discipline: d, metrics: metrics, now: now}, nil
 }
 
-// Renewed tells of an acquire or renewal of the pool's lease that was sent at
-// asked.
+// Renewed records an acquire or renewal of the pool's lease that was sent at asked.
 func (s *Sender) Renewed(lease platform.Lease, asked time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.grant = s.grant.Renewed(lease, asked, s.now())
 }
 
-// Lost tells that the lease is lost or given up.
+// Lost records that the lease was lost or released.
 func (s *Sender) Lost() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.grant = Grant{}
 }
 
-// Beat must be called more often than the discipline's DetectPause while the
-// lease is held: a gap between two beats is a pause, after which nothing is
-// sent until the lease is renewed.
+// Beat records a heartbeat. While the lease is held, it must be called more often than every
+// DetectPause: after a longer gap nothing is sent until the lease is renewed.
 func (s *Sender) Beat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.grant = s.grant.WithHeartbeat(s.discipline, s.now())
 }
 
-// Reconcile brings the target nearer to the order's desired state and says whether
-// it is there, as read back from the engine. The order's epoch is set here. It
-// returns a *HoldError where an order was needed and none left.
+// Reconcile sends the order unless the engine already reports its desired state, and reports
+// whether the engine is in that state afterwards. It sets the epoch of the order. It returns
+// a *HoldError if an order was needed but could not be sent.
 func (s *Sender) Reconcile(ctx context.Context, target Target, order openai.Order) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.discipline.LongestOrder)
 	defer cancel()
@@ -124,8 +122,8 @@
 	return errs.Wrap(errs.Upstream, err, "send order", target.Address)
 }
 
-// check returns the grant's epoch where an order may leave now. A want above
-// zero is the epoch that the grant must still have.
+// check returns the epoch of the grant, and an error unless an order may be sent now. If want
+// is not zero, the grant must have that epoch.
 func (s *Sender) check(target Target, want int64) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,7 +148,7 @@
 	return errs.Wrap(errs.Platform, err, "reserve weights", order.Model)
 }
 
-// reached says whether the state is what the order asks for.
+// reached reports whether the state is the one that the order requests.
 func reached(state openai.OrderState, order openai.Order) bool {
 	if order.Kind == openai.OrderRole {
 		return state.Role == order.Role
--- a/internal/order/sender_test.go
+++ b/internal/order/sender_test.go
@@ -25,12 +25,12 @@
 	state   openai.OrderState
 }
 
-// network carries orders to one engine; each may be late by up to flight, also
-// after the sender has given up.
+// network delivers orders to one engine with a delay of flight, even if the sender has
+// already timed out.
 type network struct {
 	engine *fakeEngine
 	flight time.Duration
-	// paused, where set, is called between the order's making and its guard.
+	// paused, if set, is called before the guard.
 	paused func()
 }
 
@@ -77,8 +77,8 @@
 	return s
 }
 
-// holder beats and drives roles until ctx ends, but for its pauses.
-func holder(ctx context.Context, s *Sender, target Target, role string, beat func() bool) {
+// runHolder sends heartbeats and role orders until ctx ends.
+func runHolder(ctx context.Context, s *Sender, target Target, role string, beat func() bool) {
 	for ctx.Err() == nil {
 		if beat() {
 			s.Beat()
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestPausedHolder pauses a holder at every moment of its lease, between the
-// making of an order and its guard, while a new holder takes over.
+// TestPausedHolder guards against an old holder's order taking effect after a new holder's,
+// if the old one is paused between creating an order and checking its guard.
 func TestPausedHolder(t *testing.T) {
 	for _, honours := range []bool{true, false} {
 		for pauseAt := time.Duration(0); pauseAt < testTTL; pauseAt += testTTL / 8 {
@@ -110,7 +110,7 @@
 	older, newer := newTestSender(t, oldNet, openWeights{}), newTestSender(t, newNet, openWeights{})
 	older.Renewed(platform.Lease{Epoch: 1}, began)
 	older.mu.Lock()
-	// It has held the lease for long: its own wait is over.
+	// The old holder is past its own hand-over wait.
 	older.grant.Since = began.Add(-time.Hour)
 	older.mu.Unlock()
 	paused := false
@@ -121,12 +121,12 @@
 		}
 	}
 	var holders sync.WaitGroup
-	holders.Go(func() { holder(ctx, older, target, "old", func() bool { return true }) })
-	// The platform lapses the lease early, the worst case.
+	holders.Go(func() { runHolder(ctx, older, target, "old", func() bool { return true }) })
+	// The platform ends the old lease early, which is the worst case.
 	time.Sleep(pauseAt/2 + time.Second)
 	newer.Renewed(platform.Lease{Epoch: 2}, time.Now())
 	holders.Go(func() {
-		holder(ctx, newer, target, "new", func() bool {
+		runHolder(ctx, newer, target, "new", func() bool {
 			newer.Renewed(platform.Lease{Epoch: 2}, time.Now())
 			return true
 		})
@@ -160,11 +160,11 @@
 		want    HoldReason
 	}{
 		{name: "no lease", want: ReasonNoLease},
-		{name: "honoured at once", grant: held, honours: true},
-		{name: "ignored: not at once", grant: held, want: ReasonHandOver},
-		{name: "well before its end", grant: held, after: d.LeaseTTL - d.StopMargin, honours: true, want: ReasonLeaseEnding},
+		{name: "fencing honoured", grant: held, honours: true},
+		{name: "fencing ignored: hand-over wait", grant: held, want: ReasonHandOver},
+		{name: "within the stop margin", grant: held, after: d.LeaseTTL - d.StopMargin, honours: true, want: ReasonLeaseEnding},
 		{name: "after a pause", grant: held, after: d.DetectPause + 1, honours: true, want: ReasonPaused},
-		{name: "a look after a pause changes nothing", grant: held.WithHeartbeat(d, began.Add(time.Second)), after: time.Second, honours: true, want: ReasonPaused},
+		{name: "a heartbeat does not end a pause", grant: held.WithHeartbeat(d, began.Add(time.Second)), after: time.Second, honours: true, want: ReasonPaused},
 	} {
 		err := c.grant.Check(d, c.honours, began.Add(c.after))
 		var hold *HoldError
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestWeightStoresRateHoldsALoad(t *testing.T) {
+func TestWeightRateLimitHoldsLoad(t *testing.T) {
 	engine := &fakeEngine{honours: true}
 	s := newTestSender(t, &network{engine: engine}, openWeights{err: platform.ErrRateLimited})
 	s.Renewed(platform.Lease{Epoch: 1}, time.Now())
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestHTTPGuardStopsTheWrite shows that no byte leaves once the guard refuses,
-// even where the connection stands already.
+// TestHTTPGuardStopsTheWrite guards against sending data on an established connection after
+// the guard has refused.
 func TestHTTPGuardStopsTheWrite(t *testing.T) {
 	taken := make(chan openai.Order, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
