--- a/internal/autoscale/capacity.go
+++ b/internal/autoscale/capacity.go
@@ -9,7 +9,7 @@
 
 // Record is the scaler state in the store. The next lease holder resumes from it.
 type Record struct {
-	// Capacity is the wanted capacity by upstream, in non-reclaimable replicas.
+	// Capacity is the wanted capacity by upstream, in on-demand replicas.
 	Capacity map[string]float64 `json:"capacity"`
 }
 
--- a/internal/autoscale/orders.go
+++ b/internal/autoscale/orders.go
@@ -32,7 +32,7 @@
 	exhaustedUntil map[Pool]boottime.Instant
 }
 
-// NewOrders returns an Orders without any order.
+// NewOrders returns an Orders with no recorded orders.
 func NewOrders() *Orders {
 	return &Orders{last: make(map[Pool]ordered), exhaustedUntil: make(map[Pool]boottime.Instant)}
 }
@@ -63,7 +63,8 @@
 	return due
 }
 
-// More returns the orders for reclaimable replicas that raise the number already ordered.
+// More returns the orders for reclaimable replicas above the number already ordered or
+// ready.
 func (b *Orders) More(o *Observation, mix Mix) []Order {
 	var more []Order
 	for _, zone := range o.Zones {
@@ -108,11 +109,11 @@
 		return true
 	}
 	// Keep on-demand replicas in a zone without reclaimable capacity.
-	replacing, toBeHad := mix[zone.Name][Reclaimable]
+	replacing, available := mix[zone.Name][Reclaimable]
 	// Both kinds share the maximum of the zone. Once it is reached, more reclaimable
 	// replicas can start only when on-demand ones are removed.
 	room := o.Scaling.Max - zone.Ready[OnDemand]
-	return toBeHad && zone.Ready[Reclaimable] >= min(replacing, room)
+	return available && zone.Ready[Reclaimable] >= min(replacing, room)
 }
 
 // RecordRefused records that the pool has no capacity.
--- a/internal/autoscale/portfolio.go
+++ b/internal/autoscale/portfolio.go
@@ -12,7 +12,7 @@
 
 // portfolio returns the cheapest mix that still has the capacity, in replicas, after any one
 // zone loses all its reclaimable replicas. Exhausted zones keep the reclaimable replicas
-// that they have, and the other zones make up for the rest.
+// that they have, and the other zones take over their share.
 func portfolio(capacity float64, s *route.Scaling, zones []string, exhausted map[string]bool) Mix {
 	mix := cheapest(capacity, s, zones, exhausted)
 	for zone := range exhausted {
--- a/internal/order/grant.go
+++ b/internal/order/grant.go
@@ -14,7 +14,7 @@
 	// Since is when this process learned of the first grant at this epoch.
 	Since time.Time
 	// Asked is when the latest acquire or renewal was sent. The platform can't have granted
-	// it earlier, so the lease lasts at least LeaseTTL from then.
+	// it earlier.
 	Asked time.Time
 	// LastHeartbeat is the time of the latest renewal or heartbeat.
 	LastHeartbeat time.Time
--- a/internal/order/sender_test.go
+++ b/internal/order/sender_test.go
@@ -134,10 +134,10 @@
 	time.Sleep(6 * testTTL)
 	cancel()
 	holders.Wait()
-	checkOrder(t, engine, honours, pauseAt, flight)
+	checkAppliedOrders(t, engine, honours, pauseAt, flight)
 }
 
-func checkOrder(t *testing.T, engine *fakeEngine, honours bool, pauseAt, flight time.Duration) {
+func checkAppliedOrders(t *testing.T, engine *fakeEngine, honours bool, pauseAt, flight time.Duration) {
 	t.Helper()
 	applied := engine.state.Applied
 	if len(applied) == 0 || applied[len(applied)-1].Epoch != 2 || engine.state.Role != "new" {
