--- a/internal/duty/dutytest/doc.go
+++ b/internal/duty/dutytest/doc.go
@@ -1,3 +1,3 @@
 // Package dutytest has in-memory fakes for tests of duties: the platform's store and the
-// platform side of the duties' calls, both with faults, and checks of fencing.
+// platform side of the duties' calls, both with fault injection, and checks of the fencing tokens.
 package dutytest
--- a/internal/duty/dutytest/judge.go
+++ b/internal/duty/dutytest/judge.go
@@ -25,75 +25,76 @@
 	// Lease is the time within which two holders may not act alternately.
 	Lease time.Duration
 
-	mu         sync.Mutex
-	highest    map[string]int64
-	holders    map[int64]string
-	calls      []Call
-	reports    map[int64]map[string]int64
-	violations []string
+	mu            sync.Mutex
+	highestFence  map[string]int64
+	holderByFence map[int64]string
+	calls         []Call
+	reports       map[int64]map[string]int64
+	violations    []string
 	// lateRate is the share of calls that are applied late and get no answer.
-	lateRate float64
-	random   *rand.Rand
-	waits    sync.WaitGroup
+	lateRate  float64
+	random    *rand.Rand
+	lateCalls sync.WaitGroup
 }
 
 // NewChecker returns a checker without late calls.
 func NewChecker(lease time.Duration, seed uint64) *Checker {
 	return &Checker{
-		Lease: lease, highest: make(map[string]int64), holders: make(map[int64]string),
+		Lease: lease, highestFence: make(map[string]int64), holderByFence: make(map[int64]string),
 		reports: make(map[int64]map[string]int64), random: rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
 // SetLateRate sets the share of calls, from 0 to 1, that are applied some seconds late and
 // get no answer.
-func (j *Checker) SetLateRate(part float64) {
+func (j *Checker) SetLateRate(rate float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.lateRate = part
+	j.lateRate = rate
 }
 
 // Wait waits until all late calls are applied.
-func (j *Checker) Wait() { j.waits.Wait() }
+func (j *Checker) Wait() { j.lateCalls.Wait() }
 
-// Handle applies a call on the subject by calling done, with the checker's lock held.
-func (j *Checker) Handle(term duty.Term, subject string, done func()) error {
+// Handle applies a call on the subject, or delays or rejects it. onApply runs when the call
+// is applied, with the checker's lock held.
+func (j *Checker) Handle(term duty.Term, subject string, onApply func()) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.checkSender(term)
 	if j.random.Float64() < j.lateRate {
-		after := time.Duration(j.random.Int64N(int64(lateFor)))
-		j.waits.Go(func() {
+		after := time.Duration(j.random.Int64N(int64(maxDelay)))
+		j.lateCalls.Go(func() {
 			time.Sleep(after)
 			j.mu.Lock()
 			defer j.mu.Unlock()
-			// No one waits for the result of a late call.
-			_ = j.apply(term, subject, done, false)
+			// The sender gets no result of a late call.
+			_ = j.apply(term, subject, onApply, false)
 		})
 		return platform.ErrUnavailable
 	}
-	return j.apply(term, subject, done, true)
+	return j.apply(term, subject, onApply, true)
 }
 
 // checkSender records a violation if two holders use one fencing token. The caller holds
 // j.mu.
 func (j *Checker) checkSender(term duty.Term) {
-	if holder, known := j.holders[term.Fence]; known && holder != term.Holder {
-		j.violation("fencing token %d was used by %s and by %s", term.Fence, holder, term.Holder)
+	if holder, known := j.holderByFence[term.Fence]; known && holder != term.Holder {
+		j.addViolation("fencing token %d was used by %s and by %s", term.Fence, holder, term.Holder)
 	}
-	j.holders[term.Fence] = term.Holder
+	j.holderByFence[term.Fence] = term.Holder
 }
 
 // apply runs the call unless its fencing token is too low. The caller holds j.mu.
-func (j *Checker) apply(term duty.Term, subject string, done func(), sentNow bool) error {
-	if term.Fence < j.highest[subject] {
+func (j *Checker) apply(term duty.Term, subject string, onApply func(), sentNow bool) error {
+	if term.Fence < j.highestFence[subject] {
 		return platform.ErrConflict
 	}
-	j.highest[subject] = term.Fence
+	j.highestFence[subject] = term.Fence
 	if sentNow {
 		j.checkAlternation(Call{Holder: term.Holder, Fence: term.Fence, Subject: subject, At: time.Now()})
 	}
-	done()
+	onApply()
 	return nil
 }
 
@@ -106,7 +107,7 @@
 		case j.calls[i].Holder != c.Holder:
 			other = true
 		case other:
-			j.violation("calls by %s, another holder and %s again within %s", c.Holder, c.Holder, j.Lease)
+			j.addViolation("calls by %s, another holder and %s again within %s", c.Holder, c.Holder, j.Lease)
 			other = false
 		}
 	}
@@ -118,15 +119,15 @@
 	// A late call must apply what was sent, even if the caller changes its map.
 	sent := maps.Clone(counts)
 	return j.Handle(term, "usage", func() {
-		if before, told := j.reports[window]; told && !maps.Equal(before, sent) {
-			j.violation("window %d was reported as %v and then as %v", window, before, sent)
+		if previous, reported := j.reports[window]; reported && !maps.Equal(previous, sent) {
+			j.addViolation("window %d was reported as %v and then as %v", window, previous, sent)
 			return
 		}
 		j.reports[window] = sent
 	})
 }
 
-func (j *Checker) violation(format string, args ...any) {
+func (j *Checker) addViolation(format string, args ...any) {
 	j.violations = append(j.violations, fmt.Sprintf(format, args...))
 }
 
--- a/internal/duty/dutytest/store.go
+++ b/internal/duty/dutytest/store.go
@@ -18,8 +18,8 @@
 	faults   StoreFaults
 	random   *rand.Rand
 	calls    int
-	// waits counts the delayed writes.
-	waits sync.WaitGroup
+	// lateWrites counts the delayed writes.
+	lateWrites sync.WaitGroup
 }
 
 // StoreFaults are the faults to inject. The zero value injects none.
@@ -31,8 +31,8 @@
 	LostAnswerRate, LateWriteRate float64
 }
 
-// lateFor is the longest delay of a late write or call.
-const lateFor = 6 * time.Second
+// maxDelay is the longest delay of a late write or call.
+const maxDelay = 6 * time.Second
 
 type entry struct {
 	platform.Entry
@@ -40,8 +40,8 @@
 }
 
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // NewStore returns an empty store.
@@ -59,7 +59,7 @@
 	for id, l := range s.leases {
 		if s.faults.Down && !s.faults.Lapse {
 			// Leases do not expire while the store is down, unless Lapse is set.
-			l.ends = now.Add(l.ttl)
+			l.expiresAt = now.Add(l.ttl)
 			s.leases[id] = l
 		}
 	}
@@ -74,7 +74,7 @@
 }
 
 // Wait waits until all late writes are applied.
-func (s *Store) Wait() { s.waits.Wait() }
+func (s *Store) Wait() { s.lateWrites.Wait() }
 
 // begin locks s.mu, counts a call and expires leases. It returns with s.mu locked, also
 // with an error.
@@ -86,7 +86,7 @@
 	}
 	now := time.Now()
 	for id, l := range s.leases {
-		if !now.Before(l.ends) {
+		if !now.Before(l.expiresAt) {
 			s.end(id)
 		}
 	}
@@ -126,7 +126,7 @@
 		return 0, err
 	}
 	s.revision++
-	s.leases[s.revision] = lease{ttl: ttl, ends: time.Now().Add(ttl)}
+	s.leases[s.revision] = lease{ttl: ttl, expiresAt: time.Now().Add(ttl)}
 	return s.revision, nil
 }
 
@@ -141,7 +141,7 @@
 	if !ok {
 		return platform.ErrNotFound
 	}
-	l.ends = time.Now().Add(l.ttl)
+	l.expiresAt = time.Now().Add(l.ttl)
 	s.leases[id] = l
 	return nil
 }
@@ -171,12 +171,12 @@
 		return s.commit(t)
 	}
 	if s.random.Float64() >= s.faults.LateWriteRate {
-		// Made, or refused, without an answer.
+		// Applied or refused; the answer is lost.
 		_, _ = s.commit(t)
 		return 0, platform.ErrUnavailable
 	}
-	after := time.Duration(s.random.Int64N(int64(lateFor)))
-	s.waits.Go(func() {
+	after := time.Duration(s.random.Int64N(int64(maxDelay)))
+	s.lateWrites.Go(func() {
 		time.Sleep(after)
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -36,8 +36,8 @@
 type Holder struct {
 	options Options
 	lease   *lease.Holder
-	// works counts the running tasks of the current term.
-	works sync.WaitGroup
+	// tasks counts the running tasks of the current term.
+	tasks sync.WaitGroup
 	// fence is the fencing token of the current term; zero if there is none.
 	fence atomic.Int64
 }
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	h := &Holder{options: options}
-	h.lease = lease.NewHolder(source, options.Key, lease.Callbacks{OnGained: h.gained, OnLost: h.lost}, options.Rand)
+	h.lease = lease.NewHolder(source, options.Key, lease.Callbacks{OnGained: h.onGained, OnLost: h.onLost}, options.Rand)
 	options.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "trestle_duty_fence", Help: "Fencing token of the duties that this node holds; zero: it holds none.",
 	}, func() float64 { return float64(h.fence.Load()) }))
@@ -80,7 +80,7 @@
 	}
 }
 
-func (h *Holder) gained(ctx context.Context, fence int64) {
+func (h *Holder) onGained(ctx context.Context, fence int64) {
 	h.fence.Store(fence)
 	h.options.Log.Write(&gained{node: h.options.Node, fence: fence})
 	term := Term{
@@ -90,13 +90,13 @@
 			return ok && held == fence
 		},
 	}
-	for _, work := range h.options.Tasks {
-		h.works.Go(func() { work.Run(ctx, term) })
+	for _, task := range h.options.Tasks {
+		h.tasks.Go(func() { task.Run(ctx, term) })
 	}
 }
 
-func (h *Holder) lost(fence int64, reason lease.EndReason) {
-	h.works.Wait()
+func (h *Holder) onLost(fence int64, reason lease.EndReason) {
+	h.tasks.Wait()
 	h.fence.Store(0)
 	h.options.Log.Write(&lost{node: h.options.Node, fence: fence, reason: reason})
 }
--- a/internal/duty/holder_test.go
+++ b/internal/duty/holder_test.go
@@ -23,13 +23,13 @@
 const ttl = 3 * time.Second
 
 // actor calls the platform repeatedly while its node is the holder.
-type actor struct{ judge *dutytest.Checker }
+type actor struct{ checker *dutytest.Checker }
 
 func (a actor) Run(ctx context.Context, term duty.Term) {
 	for ctx.Err() == nil {
 		if term.Held() {
 			// The checker records the outcome.
-			_ = a.judge.Handle(term, "subject", func() {})
+			_ = a.checker.Handle(term, "subject", func() {})
 		}
 		if ctxtime.Sleep(ctx, 100*time.Millisecond) != nil {
 			return
@@ -59,13 +59,13 @@
 
 // fleet is a set of nodes that contend for one duty, inside a synctest bubble.
 type fleet struct {
-	t     *testing.T
-	store *dutytest.Store
-	judge *dutytest.Checker
-	began time.Time
-	stops map[string]context.CancelFunc
-	done  map[string]chan struct{}
-	runs  int
+	t         *testing.T
+	store     *dutytest.Store
+	checker   *dutytest.Checker
+	startedAt time.Time
+	stops     map[string]context.CancelFunc
+	done      map[string]chan struct{}
+	runs      int
 
 	mu  sync.Mutex
 	cut map[string]bool
@@ -86,18 +86,18 @@
 
 func newFleet(t *testing.T, seed uint64) *fleet {
 	return &fleet{
-		t: t, store: dutytest.NewStore(seed), judge: dutytest.NewChecker(ttl, seed), began: time.Now(),
+		t: t, store: dutytest.NewStore(seed), checker: dutytest.NewChecker(ttl, seed), startedAt: time.Now(),
 		stops: make(map[string]context.CancelFunc), done: make(map[string]chan struct{}), cut: make(map[string]bool),
 	}
 }
 
-func (f *fleet) clock() boottime.Instant { return boottime.Instant(time.Since(f.began)) + 1 }
+func (f *fleet) clock() boottime.Instant { return boottime.Instant(time.Since(f.startedAt)) + 1 }
 
 func (f *fleet) start(name string) {
 	f.runs++
 	holder, err := duty.NewHolder(duty.Options{
 		Store: cutStore{f.store, func() bool { return f.isCut(name) }}, Key: "holder", Node: name, Process: fmt.Sprint(name, "/", f.runs), TTL: ttl,
-		Contends: func() bool { return true }, Tasks: []duty.Task{actor{f.judge}}, Clock: f.clock,
+		Contends: func() bool { return true }, Tasks: []duty.Task{actor{f.checker}}, Clock: f.clock,
 		Rand: rand.New(rand.NewPCG(uint64(f.runs), 2)), Log: eventlog.New(io.Discard, name), Registry: prometheus.NewRegistry(),
 	})
 	if err != nil {
@@ -125,15 +125,15 @@
 		f.stop(name)
 	}
 	f.store.Wait()
-	f.judge.Wait()
-	for _, broken := range f.judge.Violations() {
-		f.t.Error(broken)
+	f.checker.Wait()
+	for _, violation := range f.checker.Violations() {
+		f.t.Error(violation)
 	}
 }
 
 // holder returns the node that made the last call.
 func (f *fleet) holder() string {
-	calls := f.judge.Calls()
+	calls := f.checker.Calls()
 	if len(calls) == 0 {
 		return ""
 	}
@@ -142,9 +142,9 @@
 
 // lastCall returns the time since the last call.
 func (f *fleet) lastCall() time.Duration {
-	calls := f.judge.Calls()
+	calls := f.checker.Calls()
 	if len(calls) == 0 {
-		return time.Since(f.began)
+		return time.Since(f.startedAt)
 	}
 	return time.Since(calls[len(calls)-1].At)
 }
@@ -214,7 +214,7 @@
 	for seed := range uint64(200) {
 		synctest.Test(t, func(t *testing.T) { runRandomFaults(t, seed) })
 		if t.Failed() {
-			t.Fatalf("seed %d", seed)
+			t.Fatalf("guarantees violated with seed %d", seed)
 		}
 	}
 }
@@ -235,25 +235,25 @@
 			f.store.SetFaults(dutytest.StoreFaults{LostAnswerRate: 0.5, LateWriteRate: 0.5})
 		case 2:
 			f.store.SetFaults(dutytest.StoreFaults{})
-			f.judge.SetLateRate(random.Float64() / 2)
+			f.checker.SetLateRate(random.Float64() / 2)
 		case 3:
 			f.stop(name)
 			f.start(name)
 		case 4:
 			f.setCut(name, !f.isCut(name))
 		case 5:
-			f.judge.SetLateRate(0)
+			f.checker.SetLateRate(0)
 		}
 		time.Sleep(time.Duration(random.Int64N(int64(2 * ttl))))
 	}
 	f.store.SetFaults(dutytest.StoreFaults{})
-	f.judge.SetLateRate(0)
+	f.checker.SetLateRate(0)
 	for _, name := range names {
 		f.setCut(name, false)
 	}
 	time.Sleep(3 * ttl)
 	if f.lastCall() > time.Second {
-		t.Errorf("nobody acts %s after the faults ended", 3*ttl)
+		t.Errorf("no node calls the platform %s after the faults ended", 3*ttl)
 	}
 	f.finish()
 }
--- a/internal/duty/lock.go
+++ b/internal/duty/lock.go
@@ -25,7 +25,7 @@
 type Lock struct {
 	store Store
 	clock boottime.Clock
-	// contends reports whether to try at all.
+	// contends reports whether this node may try to acquire a lock.
 	contends func() bool
 
 	mu sync.Mutex
@@ -35,9 +35,9 @@
 
 // grant is the store's lease under which an epoch was granted.
 type grant struct {
-	epoch int64
-	lease int64
-	since boottime.Instant
+	epoch     int64
+	lease     int64
+	grantedAt boottime.Instant
 }
 
 // NewLock returns a lock in the store. While contends returns false, Acquire reports the
@@ -51,7 +51,7 @@
 	if !l.contends() {
 		return platform.Lease{}, &platform.HeldError{Current: platform.Lease{Name: name}}
 	}
-	current, err := l.current(ctx, name)
+	current, err := l.currentGrant(ctx, name)
 	if err != nil {
 		return platform.Lease{}, err
 	}
@@ -62,7 +62,7 @@
 	if err != nil {
 		return platform.Lease{}, err
 	}
-	since := l.clock()
+	grantedAt := l.clock()
 	value, err := json.Marshal(holderRecord{Holder: holder, Lease: id})
 	if err != nil {
 		return platform.Lease{}, fmt.Errorf("record of %s: %w", name, err)
@@ -81,12 +81,12 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.grants[name] = grant{epoch: epoch, lease: id, since: since}
+	l.grants[name] = grant{epoch: epoch, lease: id, grantedAt: grantedAt}
 	return platform.Lease{Name: name, Holder: holder, Epoch: epoch, TTL: ttl}, nil
 }
 
-// current returns the grant in the store, or the zero Lease if there is none.
-func (l *Lock) current(ctx context.Context, name string) (platform.Lease, error) {
+// currentGrant returns the grant in the store, or the zero Lease if there is none.
+func (l *Lock) currentGrant(ctx context.Context, name string) (platform.Lease, error) {
 	entry, err := l.store.Get(ctx, name)
 	if errors.Is(err, platform.ErrNotFound) {
 		return platform.Lease{}, nil
@@ -103,7 +103,7 @@
 
 // Renew implements lease.Store.
 func (l *Lock) Renew(ctx context.Context, granted platform.Lease) (platform.Lease, error) {
-	g, ok := l.grant(granted)
+	g, ok := l.findGrant(granted)
 	if !ok {
 		return platform.Lease{}, platform.ErrNotFound
 	}
@@ -114,8 +114,8 @@
 // otherwise the previous holder could return at once, and two nodes could act
 // alternately within one TTL.
 func (l *Lock) Release(ctx context.Context, granted platform.Lease) error {
-	g, ok := l.grant(granted)
-	if !ok || l.clock().Sub(g.since) < granted.TTL {
+	g, ok := l.findGrant(granted)
+	if !ok || l.clock().Sub(g.grantedAt) < granted.TTL {
 		return nil
 	}
 	err := l.store.End(ctx, g.lease)
@@ -125,8 +125,8 @@
 	return err
 }
 
-// grant returns this process's grant of the lease, if that is still its newest.
-func (l *Lock) grant(granted platform.Lease) (grant, bool) {
+// findGrant returns this process's findGrant of the lease, if that is still its newest.
+func (l *Lock) findGrant(granted platform.Lease) (grant, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	g, ok := l.grants[granted.Name]
--- a/internal/lease/fixture_test.go
+++ b/internal/lease/fixture_test.go
@@ -38,11 +38,11 @@
 	return c.Store.Renew(ctx, lease)
 }
 
-// process is one contender with a clock that can jump.
+// process is one contender whose clock can be set forward.
 type process struct {
-	store  *cutStore
-	holder *Holder
-	jump   atomic.Int64
+	store       *cutStore
+	holder      *Holder
+	clockOffset atomic.Int64
 	// gained and lost are the epoch and reason of the last callbacks.
 	gained atomic.Int64
 	lost   atomic.Value
@@ -50,19 +50,19 @@
 	ended  chan error
 }
 
-func (p *process) now() time.Time { return time.Now().Add(time.Duration(p.jump.Load())) }
+func (p *process) now() time.Time { return time.Now().Add(time.Duration(p.clockOffset.Load())) }
 
 func (p *process) held() (int64, bool) { return p.holder.Held(p.now()) }
 
 // startProcess runs a contender until the test ends.
 func startProcess(t *testing.T, store *memstore.Store, name string) *process {
 	t.Helper()
-	return startPreferring(t, store, name, always)
+	return startWithPreference(t, store, name, always)
 }
 
-// startPreferring is startProcess with a function that says whether the process
+// startWithPreference is startProcess with a function that says whether the process
 // is preferred.
-func startPreferring(t *testing.T, store *memstore.Store, name string, preferred func() bool) *process {
+func startWithPreference(t *testing.T, store *memstore.Store, name string, preferred func() bool) *process {
 	t.Helper()
 	p := &process{store: &cutStore{Store: store}, ended: make(chan error, 1)}
 	p.lost.Store(EndReason(""))
--- a/internal/lease/grant.go
+++ b/internal/lease/grant.go
@@ -25,17 +25,17 @@
 // arguments. A grant that has ended stays ended.
 type grant struct {
 	lease platform.Lease
-	// asked is when the newest successful call was sent: the platform can't have
-	// counted TTL from an earlier moment.
-	asked time.Time
+	// sentAt is when the newest successful call was sent: the platform can't have
+	// started TTL earlier.
+	sentAt time.Time
 	// checkedAt is the time of the newest check.
 	checkedAt time.Time
 	end       EndReason
 }
 
 // newGrant returns the grant of a call sent at asked and answered at now.
-func newGrant(s Settings, lease platform.Lease, asked, now time.Time) grant {
-	g := grant{lease: lease, asked: asked, checkedAt: now}
+func newGrant(s Settings, lease platform.Lease, sentAt, now time.Time) grant {
+	g := grant{lease: lease, sentAt: sentAt, checkedAt: now}
 	g.check(s, now)
 	return g
 }
@@ -47,7 +47,7 @@
 	case g.end != "":
 	case elapsed(g.checkedAt, now) > s.PauseBound:
 		g.end = EndPaused
-	case elapsed(g.asked, now) >= s.usable():
+	case elapsed(g.sentAt, now) >= s.usable():
 		g.end = EndLapsed
 	}
 	g.checkedAt = now
@@ -55,9 +55,9 @@
 }
 
 // extend records a successful renewal that was sent at asked.
-func (g *grant) extend(asked time.Time) {
-	if asked.After(g.asked) {
-		g.asked = asked
+func (g *grant) extend(sentAt time.Time) {
+	if sentAt.After(g.sentAt) {
+		g.sentAt = sentAt
 	}
 }
 
@@ -70,7 +70,7 @@
 
 // remaining returns the time until the grant ends without a renewal.
 func (g *grant) remaining(s Settings, now time.Time) time.Duration {
-	return s.usable() - elapsed(g.asked, now)
+	return s.usable() - elapsed(g.sentAt, now)
 }
 
 // elapsed returns the longer of the monotonic and the wall clock's difference,
--- a/internal/lease/grant_test.go
+++ b/internal/lease/grant_test.go
@@ -9,29 +9,29 @@
 
 func TestGrant(t *testing.T) {
 	settings := DefaultSettings(16 * time.Second)
-	asked := time.Now()
+	sentAt := time.Now()
 	// wall returns a time without a monotonic reading.
-	wall := func(after time.Duration) time.Time { return asked.Round(0).Add(after) }
+	wall := func(after time.Duration) time.Time { return sentAt.Round(0).Add(after) }
 	tests := []struct {
 		name   string
 		checks []time.Duration
 		last   time.Time
 		want   EndReason
 	}{
-		{name: "in force", checks: []time.Duration{time.Second}, last: asked.Add(2 * time.Second)},
-		{name: "a gap up to the bound", last: asked.Add(settings.PauseBound)},
-		{name: "a gap over the bound", last: asked.Add(settings.PauseBound + 1), want: EndPaused},
+		{name: "in force", checks: []time.Duration{time.Second}, last: sentAt.Add(2 * time.Second)},
+		{name: "a gap up to the bound", last: sentAt.Add(settings.PauseBound)},
+		{name: "a gap over the bound", last: sentAt.Add(settings.PauseBound + 1), want: EndPaused},
 		{name: "a gap over the bound by the wall clock", last: wall(settings.PauseBound + 1), want: EndPaused},
 		{name: "a gap up to the bound by the wall clock", last: wall(settings.PauseBound)},
-		{name: "just usable", checks: checksUntil(settings.usable()), last: asked.Add(settings.usable() - 1)},
-		{name: "margin reached", checks: checksUntil(settings.usable()), last: asked.Add(settings.usable()), want: EndLapsed},
-		{name: "an ended grant stays ended", checks: []time.Duration{time.Minute}, last: asked, want: EndPaused},
+		{name: "just usable", checks: checksUntil(settings.usable()), last: sentAt.Add(settings.usable() - 1)},
+		{name: "margin reached", checks: checksUntil(settings.usable()), last: sentAt.Add(settings.usable()), want: EndLapsed},
+		{name: "an ended grant stays ended", checks: []time.Duration{time.Minute}, last: sentAt, want: EndPaused},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			g := newGrant(settings, platform.Lease{Epoch: 1}, asked, asked)
+			g := newGrant(settings, platform.Lease{Epoch: 1}, sentAt, sentAt)
 			for _, check := range test.checks {
-				g.check(settings, asked.Add(check))
+				g.check(settings, sentAt.Add(check))
 			}
 			if held := g.check(settings, test.last); held != (test.want == "") || g.end != test.want {
 				t.Errorf("held %v, ended %q, want %q", held, g.end, test.want)
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -36,20 +36,21 @@
 	term *Term
 }
 
-// NewHolder returns a holder for the named lease. No one else may use random.
+// NewHolder returns a holder for the named lease. The caller must not use
+// random afterwards.
 func NewHolder(source *Source, name string, callbacks Callbacks, random *rand.Rand) *Holder {
 	return &Holder{source: source, name: name, callbacks: callbacks, random: random, preferred: always}
 }
 
 func always() bool { return true }
 
-// unpreferredTryFactor is how many times more rarely a process that is not
+// unpreferredTryFactor is how many times less often a process that is not
 // preferred tries to acquire the lease.
 const unpreferredTryFactor = 24
 
 // SetPreferred limits the calls of many contenders: while preferred returns
-// false, this one tries unpreferredTryFactor times more rarely. It still tries,
-// so that the lease finds a holder when the preferred process can't reach the
+// false, the holder tries unpreferredTryFactor times less often. It still tries,
+// so that the lease is acquired when the preferred process can't reach the
 // platform. A term in force is kept either way. Call it before Run.
 func (h *Holder) SetPreferred(preferred func() bool) { h.preferred = preferred }
 
@@ -93,9 +94,9 @@
 func (h *Holder) runTerm(ctx context.Context, term *Term) error {
 	h.setTerm(term)
 	defer h.setTerm(nil)
-	live, stop := context.WithCancel(context.WithoutCancel(ctx))
+	termCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	h.callbacks.OnGained(live, term.Epoch())
+	h.callbacks.OnGained(termCtx, term.Epoch())
 	select {
 	case <-term.Done():
 		stop()
--- a/internal/lease/holder_test.go
+++ b/internal/lease/holder_test.go
@@ -41,9 +41,9 @@
 		store := memstore.New(memstore.Config{})
 		p := startProcess(t, store, "a")
 		time.Sleep(10 * ttl)
-		expect(t, "after ten lengths", p, 1)
+		expect(t, "after ten TTLs", p, 1)
 		if renewals := store.Calls()[platform.CallRenew].Calls; renewals < 38 || renewals > 41 {
-			t.Errorf("%d renewals in 40 quarters", renewals)
+			t.Errorf("%d renewals in ten TTLs, want 38 to 41", renewals)
 		}
 		finish(t, p)
 	})
@@ -71,7 +71,7 @@
 		}
 		synctest.Wait()
 		if p.lost.Load() != EndLapsed {
-			t.Errorf("lost with reason %v", p.lost.Load())
+			t.Errorf("lost with reason %v, want lapsed", p.lost.Load())
 		}
 		time.Sleep(4 * ttl)
 		expect(t, "after the outage", p, 2)
@@ -97,13 +97,13 @@
 		paused := startProcess(t, store, "a")
 		time.Sleep(time.Second)
 		expect(t, "before the pause", paused, 1)
-		paused.jump.Add(int64(2 * ttl))
+		paused.clockOffset.Add(int64(2 * ttl))
 		store.LapseLease(duty)
 		other := startProcess(t, store, "bb")
 		expect(t, "after the pause", paused, 0)
 		expect(t, "the other", other, 2)
 		if paused.lost.Load() != EndPaused {
-			t.Errorf("lost with reason %v", paused.lost.Load())
+			t.Errorf("lost with reason %v, want paused", paused.lost.Load())
 		}
 		time.Sleep(2 * ttl)
 		expect(t, "later", paused, 0)
@@ -118,12 +118,12 @@
 		p := startProcess(t, store, "a")
 		expect(t, "granted, answer lost", p, 0)
 		if granted, held := store.Lease(duty); !held || granted.Epoch != 1 {
-			t.Errorf("the platform has %+v, %v", granted, held)
+			t.Errorf("the platform has lease %+v, held %v; want epoch 1, held", granted, held)
 		}
 		time.Sleep(ttl / 2)
 		expect(t, "after the next acquire", p, 2)
 		if p.gained.Load() != 2 {
-			t.Errorf("OnGained got epoch %d", p.gained.Load())
+			t.Errorf("OnGained got epoch %d, want 2", p.gained.Load())
 		}
 		finish(t, p)
 	})
@@ -153,7 +153,7 @@
 		inject(t, store, memstore.Fault{Kind: memstore.LeaseLapse})
 		time.Sleep(ttl / 4)
 		if p.lost.Load() != EndTaken {
-			t.Errorf("lost with reason %v", p.lost.Load())
+			t.Errorf("lost with reason %v, want taken", p.lost.Load())
 		}
 		time.Sleep(ttl)
 		expect(t, "later", p, 2)
@@ -196,11 +196,11 @@
 		inject(t, store, memstore.Fault{Kind: memstore.Slow, Factor: 1000, For: 2 * time.Second})
 		p := startProcess(t, store, "a")
 		synctest.Wait()
-		p.jump.Add(int64(ttl))
+		p.clockOffset.Add(int64(ttl))
 		time.Sleep(time.Second)
 		expect(t, "acquire sent before the pause", p, 0)
 		if _, granted := store.Lease(duty); !granted {
-			t.Error("the platform did not grant")
+			t.Error("the platform did not grant the lease")
 		}
 		time.Sleep(ttl)
 		expect(t, "after the next acquire", p, 2)
--- a/internal/lease/prefer_test.go
+++ b/internal/lease/prefer_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	var all []*process
 	for i := range n {
-		all = append(all, startPreferring(t, store, strings.Repeat("o", i+1), func() bool { return false }))
+		all = append(all, startWithPreference(t, store, strings.Repeat("o", i+1), func() bool { return false }))
 	}
 	return all
 }
@@ -23,7 +23,7 @@
 func TestUnpreferredTriesRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New(memstore.Config{})
-		all := append(startUnpreferred(t, store, 29), startPreferring(t, store, "preferred", always))
+		all := append(startUnpreferred(t, store, 29), startWithPreference(t, store, "preferred", always))
 		time.Sleep(2 * ttl)
 		before := store.Calls()[platform.CallAcquire].Calls
 		const lengths = 20
@@ -40,7 +40,7 @@
 func TestUnpreferredTakesOverWhenPreferredIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New(memstore.Config{})
-		first := startPreferring(t, store, "preferred", always)
+		first := startWithPreference(t, store, "preferred", always)
 		time.Sleep(ttl)
 		expect(t, "at first", first, 1)
 		first.store.cut.Store(true)
--- a/internal/lease/random_test.go
+++ b/internal/lease/random_test.go
@@ -25,7 +25,7 @@
 	case 3:
 		p.store.cut.Store(!p.store.cut.Load())
 	case 4:
-		p.jump.Add(int64(length))
+		p.clockOffset.Add(int64(length))
 	case 5:
 		store.ClearAll()
 	}
@@ -53,7 +53,7 @@
 					}
 					holders++
 					if epoch < newest {
-						t.Errorf("seed %d: epoch %d acted on after %d", seed, epoch, newest)
+						t.Errorf("seed %d: epoch %d held after epoch %d", seed, epoch, newest)
 					}
 					if epoch > newest {
 						newest = epoch
@@ -77,6 +77,6 @@
 	}
 	t.Logf("%d terms", terms)
 	if terms < 100 {
-		t.Errorf("only %d terms: the faults ended too few terms", terms)
+		t.Errorf("%d terms, want at least 100", terms)
 	}
 }
--- a/internal/lease/settings.go
+++ b/internal/lease/settings.go
@@ -9,7 +9,7 @@
 type Settings struct {
 	// TTL is the lease's time to live in the platform.
 	TTL time.Duration
-	// Margin is how long before the end of TTL the holder stops, where TTL counts
+	// Margin is how long before the end of TTL the holder ends its term, where TTL counts
 	// from the sending of the newest successful call. It covers clock drift and the
 	// time to stop running work.
 	Margin time.Duration
--- a/internal/lease/source.go
+++ b/internal/lease/source.go
@@ -20,7 +20,7 @@
 // Observer receives a term's events as they happen. Its methods must not block.
 type Observer interface {
 	// Renewed is called after a successful acquire or renewal that was sent at asked.
-	Renewed(lease platform.Lease, asked time.Time)
+	Renewed(lease platform.Lease, sentAt time.Time)
 	// Beat is called after each clock check that found the term in force.
 	Beat()
 	// Lost is called when the term has ended.
@@ -61,7 +61,7 @@
 // later Acquire gets a newer one.
 func (s *Source) Acquire(ctx context.Context, name string, observers ...Observer) (*Term, error) {
 	const step = "acquire lease"
-	asked := s.now()
+	sentAt := s.now()
 	call, cancel := context.WithTimeout(ctx, s.settings.CallTimeout)
 	defer cancel()
 	granted, err := s.store.Acquire(call, name, s.holder, s.settings.TTL)
@@ -69,7 +69,7 @@
 		s.metrics.failed.WithLabelValues(string(platform.CallAcquire)).Inc()
 		return nil, errs.Wrap(errs.Platform, err, step, name)
 	}
-	g := newGrant(s.settings, granted, asked, s.now())
+	g := newGrant(s.settings, granted, sentAt, s.now())
 	if g.end != "" {
 		s.metrics.failed.WithLabelValues(string(platform.CallAcquire)).Inc()
 		return nil, errs.Wrap(errs.Platform, errTooLate, step, name)
--- a/internal/lease/term.go
+++ b/internal/lease/term.go
@@ -35,7 +35,7 @@
 		grant:     g,
 	}
 	source.addTerm(t)
-	t.notifyRenewed(g.asked)
+	t.notifyRenewed(g.sentAt)
 	go t.renewLoop()
 	return t
 }
@@ -101,8 +101,8 @@
 }
 
 type renewalResult struct {
-	asked time.Time
-	err   error
+	sentAt time.Time
+	err    error
 }
 
 // renewLoop checks the clock and renews until the term ends. Checks go on
@@ -111,9 +111,9 @@
 	defer t.notifyLost()
 	defer close(t.idle)
 	ctx, cancel := context.WithCancel(context.Background())
-	answers := make(chan renewalResult, 1)
+	results := make(chan renewalResult, 1)
 	renewing := false
-	renewAt := t.grant.asked.Add(t.source.settings.RenewEvery)
+	renewAt := t.grant.sentAt.Add(t.source.settings.RenewEvery)
 	timer := time.NewTimer(t.untilCheck())
 	defer timer.Stop()
 	for {
@@ -121,17 +121,17 @@
 		case <-t.done:
 			cancel()
 			if renewing {
-				<-answers
+				<-results
 			}
 			return
-		case got := <-answers:
+		case result := <-results:
 			renewing = false
-			renewAt = t.handleRenewal(got)
+			renewAt = t.handleRenewal(result)
 		case <-timer.C:
 			now := t.source.now()
 			if t.checkInForce(now) && !renewing && !now.Before(renewAt) {
 				renewing = true
-				go func() { answers <- t.renew(ctx, now) }()
+				go func() { results <- t.renew(ctx, now) }()
 			}
 			timer.Reset(t.untilCheck())
 		}
@@ -158,43 +158,44 @@
 	return true
 }
 
-func (t *Term) renew(ctx context.Context, asked time.Time) renewalResult {
+func (t *Term) renew(ctx context.Context, sentAt time.Time) renewalResult {
 	call, cancel := context.WithTimeout(ctx, t.source.settings.CallTimeout)
 	defer cancel()
 	_, err := t.source.store.Renew(call, t.lease)
-	return renewalResult{asked: asked, err: err}
+	return renewalResult{sentAt: sentAt, err: err}
 }
 
 // handleRenewal records a renewal's result and returns when to send the next.
-func (t *Term) handleRenewal(got renewalResult) time.Time {
+func (t *Term) handleRenewal(result renewalResult) time.Time {
 	s := t.source.settings
 	now := t.source.now()
 	if !t.Held(now) {
 		return now
 	}
-	if got.err == nil {
+	if result.err == nil {
 		t.mu.Lock()
-		t.grant.extend(got.asked)
+		t.grant.extend(result.sentAt)
 		t.mu.Unlock()
-		t.notifyRenewed(got.asked)
-		return got.asked.Add(s.RenewEvery)
+		t.notifyRenewed(result.sentAt)
+		return result.sentAt.Add(s.RenewEvery)
 	}
 	t.source.metrics.failed.WithLabelValues(string(platform.CallRenew)).Inc()
-	if isLost(got.err) {
+	if isLost(result.err) {
 		t.finish(EndTaken)
 	}
 	return now.Add(s.RetryEvery)
 }
 
-// isLost reports whether the platform no longer has the lease for this holder.
+// isLost reports whether the platform answered that this process no longer
+// holds the lease.
 func isLost(err error) bool {
 	var held *platform.HeldError
 	return errors.As(err, &held) || errors.Is(err, platform.ErrNotFound)
 }
 
-func (t *Term) notifyRenewed(asked time.Time) {
+func (t *Term) notifyRenewed(sentAt time.Time) {
 	for _, o := range t.observers {
-		o.Renewed(t.lease, asked)
+		o.Renewed(t.lease, sentAt)
 	}
 }
 
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -22,11 +22,11 @@
 
 // hash covers all fields, at the precision of the wire format.
 func (r *Record) hash() uint64 {
-	form := make([]byte, 0, recordBytes)
-	form = binary.LittleEndian.AppendUint64(form, uint64(r.Fingerprint))
-	form = binary.LittleEndian.AppendUint64(form, uint64(r.LastCrash.UnixMicro()))
-	form = binary.LittleEndian.AppendUint64(form, uint64(r.Level))
-	form = binary.LittleEndian.AppendUint64(form, uint64(r.Until.UnixMicro()))
-	form = binary.LittleEndian.AppendUint64(form, uint64(r.ClearedAt.UnixMicro()))
-	return xxhash.Sum64(form)
+	encoded := make([]byte, 0, recordBytes)
+	encoded = binary.LittleEndian.AppendUint64(encoded, uint64(r.Fingerprint))
+	encoded = binary.LittleEndian.AppendUint64(encoded, uint64(r.LastCrash.UnixMicro()))
+	encoded = binary.LittleEndian.AppendUint64(encoded, uint64(r.Level))
+	encoded = binary.LittleEndian.AppendUint64(encoded, uint64(r.Until.UnixMicro()))
+	encoded = binary.LittleEndian.AppendUint64(encoded, uint64(r.ClearedAt.UnixMicro()))
+	return xxhash.Sum64(encoded)
 }
--- a/internal/quarantine/quarantinerpc/doc.go
+++ b/internal/quarantine/quarantinerpc/doc.go
@@ -3,5 +3,5 @@
 // exchanges its full set with a random peer.
 //
 // All state is soft: at most maxPending records wait to be sent. Lost records
-// are sent again in the next full exchange. A platform outage has no effect here.
+// reach the peers in later full exchanges. A platform outage has no effect here.
 package quarantinerpc
--- a/internal/quarantine/quarantinerpc/spreader.go
+++ b/internal/quarantine/quarantinerpc/spreader.go
@@ -56,8 +56,8 @@
 	return s
 }
 
-// Offer queues changed records. Records that do not fit in the queue are sent
-// in the next full exchange.
+// Offer queues changed records. Records that do not fit in the queue are
+// sent in later full exchanges.
 func (s *Spreader) Offer(records ...quarantine.Record) {
 	for _, r := range records {
 		select {
--- a/internal/quarantine/quarantinerpc/spreader_test.go
+++ b/internal/quarantine/quarantinerpc/spreader_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestChangeReachesAllPeersButTheDead(t *testing.T) {
+func TestChangeReachesAllLivePeers(t *testing.T) {
 	first, firstAddress := serveTracker(t)
 	second, secondAddress := serveTracker(t)
 	here := quarantine.NewTracker(0)
@@ -75,7 +75,7 @@
 		s.Offer(quarantine.Record{Fingerprint: quarantine.Fingerprint(i)})
 	}
 	if n := len(s.batch(<-s.pending)); n != maxPending {
-		t.Errorf("%d records wait, want %d", n, maxPending)
+		t.Errorf("%d records queued, want %d", n, maxPending)
 	}
 }
 
@@ -93,7 +93,7 @@
 	back := FromProto(ToProto(records))[0]
 	if back.Fingerprint != records[0].Fingerprint || back.Level != records[0].Level ||
 		!back.Until.Equal(records[0].Until.Truncate(time.Microsecond)) {
-		t.Errorf("got back %+v of %+v", back, records[0])
+		t.Errorf("converted back to %+v, want %+v", back, records[0])
 	}
 }
 
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -8,9 +8,10 @@
 	Fingerprint Fingerprint
 	// LastCrash is when a replica last crashed while running the request.
 	LastCrash time.Time
-	// Level is the number of quarantines so far; zero for a suspect.
+	// Level is the number of quarantines since the request was last Normal; zero
+	// if there was none.
 	Level int
-	// Until is the end of the quarantine; zero for a suspect.
+	// Until is the end of the last quarantine; zero if there was none.
 	Until time.Time
 	// ClearedAt is when the request last finished.
 	ClearedAt time.Time
@@ -46,17 +47,17 @@
 		return Normal
 	case now.Before(r.Until):
 		return Refuse
-	case now.Before(r.expires()):
+	case now.Before(r.expiresAt()):
 		return RunAlone
 	default:
 		return Normal
 	}
 }
 
-// expires returns when the record no longer has an effect.
-func (r Record) expires() time.Time {
+// expiresAt returns when the record no longer has an effect.
+func (r Record) expiresAt() time.Time {
 	if r.Until.After(r.LastCrash) {
-		return r.Until.Add(suspectFor)
+		return r.Until.Add(suspicionDuration)
 	}
-	return r.LastCrash.Add(suspectFor)
+	return r.LastCrash.Add(suspicionDuration)
 }
--- a/internal/quarantine/running.go
+++ b/internal/quarantine/running.go
@@ -9,8 +9,8 @@
 const (
 	runningShards = 16
 	// restartTime is how long a replica that has not answered since its crash
-	// counts as still down: lost connections to it are no evidence against the
-	// requests on them.
+	// counts as still down: lost connections to it are not counted as another
+	// crash.
 	restartTime = 10 * time.Second
 )
 
@@ -21,7 +21,7 @@
 	seed   maphash.Seed
 	shards [runningShards]runningShard
 
-	// mu guards suspects: the runs of suspects, by fingerprint.
+	// mu guards suspects, the fingerprints of the suspects that run.
 	mu       sync.Mutex
 	suspects map[Fingerprint]bool
 }
@@ -66,16 +66,16 @@
 	s := r.shard(replica)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	on := s.replica(replica)
-	if run.alone && on.suspect != nil {
+	state := s.replica(replica)
+	if run.alone && state.suspect != nil {
 		s.removeIfIdle(replica)
 		r.release(fp)
 		return nil, false
 	}
 	if run.alone {
-		on.suspect = run
+		state.suspect = run
 	}
-	on.runs[run] = struct{}{}
+	state.runs[run] = struct{}{}
 	return run, true
 }
 
@@ -84,35 +84,35 @@
 	s := r.shard(run.Replica)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	on, ok := s.replicas[run.Replica]
+	state, ok := s.replicas[run.Replica]
 	if !ok {
 		return
 	}
-	if _, ok := on.runs[run]; !ok {
+	if _, ok := state.runs[run]; !ok {
 		return
 	}
-	r.remove(on, run)
+	r.remove(state, run)
 	s.removeIfIdle(run.Replica)
 }
 
 // remove removes a run from its replica. The caller holds the shard's lock.
-func (r *ActiveRuns) remove(on *replicaRuns, run *Run) {
-	delete(on.runs, run)
-	if on.suspect == run {
-		on.suspect = nil
+func (r *ActiveRuns) remove(state *replicaRuns, run *Run) {
+	delete(state.runs, run)
+	if state.suspect == run {
+		state.suspect = nil
 	}
 	if run.alone {
 		r.release(run.Fingerprint)
 	}
 }
 
-// Answered records that the replica sent the first byte of the run's answer.
+// Answered records that the replica has sent a byte of the run's answer.
 func (r *ActiveRuns) Answered(run *Run) {
 	s := r.shard(run.Replica)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if on, ok := s.replicas[run.Replica]; ok {
-		on.crashedAt = time.Time{}
+	if state, ok := s.replicas[run.Replica]; ok {
+		state.crashedAt = time.Time{}
 	}
 }
 
@@ -124,23 +124,23 @@
 	s := r.shard(run.Replica)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	on, ok := s.replicas[run.Replica]
+	state, ok := s.replicas[run.Replica]
 	if !ok {
 		return nil
 	}
-	if _, ok := on.runs[run]; !ok {
+	if _, ok := state.runs[run]; !ok {
 		return nil
 	}
-	if !on.crashedAt.IsZero() && now.Sub(on.crashedAt) < restartTime {
-		r.remove(on, run)
+	if !state.crashedAt.IsZero() && now.Sub(state.crashedAt) < restartTime {
+		r.remove(state, run)
 		return nil
 	}
-	fingerprints := make([]Fingerprint, 0, len(on.runs))
-	for ended := range on.runs {
+	fingerprints := make([]Fingerprint, 0, len(state.runs))
+	for ended := range state.runs {
 		fingerprints = append(fingerprints, ended.Fingerprint)
-		r.remove(on, ended)
+		r.remove(state, ended)
 	}
-	on.crashedAt = now
+	state.crashedAt = now
 	s.removeExpired(now)
 	return fingerprints
 }
@@ -150,8 +150,8 @@
 	s := r.shard(replica)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	on, ok := s.replicas[replica]
-	return ok && on.suspect != nil
+	state, ok := s.replicas[replica]
+	return ok && state.suspect != nil
 }
 
 func (r *ActiveRuns) claim(fp Fingerprint) bool {
@@ -175,17 +175,18 @@
 }
 
 func (s *runningShard) replica(name string) *replicaRuns {
-	on, ok := s.replicas[name]
+	state, ok := s.replicas[name]
 	if !ok {
-		on = &replicaRuns{runs: make(map[*Run]struct{})}
-		s.replicas[name] = on
+		state = &replicaRuns{runs: make(map[*Run]struct{})}
+		s.replicas[name] = state
 	}
-	return on
+	return state
 }
 
-// removeIfIdle removes a replica that has no runs and no recent crash.
+// removeIfIdle removes a replica that has no runs and no crash since its last
+// answer.
 func (s *runningShard) removeIfIdle(name string) {
-	if on := s.replicas[name]; on != nil && len(on.runs) == 0 && on.crashedAt.IsZero() {
+	if state := s.replicas[name]; state != nil && len(state.runs) == 0 && state.crashedAt.IsZero() {
 		delete(s.replicas, name)
 	}
 }
@@ -193,8 +194,8 @@
 // removeExpired removes replicas without runs whose crash is older than
 // restartTime.
 func (s *runningShard) removeExpired(now time.Time) {
-	for name, on := range s.replicas {
-		if len(on.runs) == 0 && now.Sub(on.crashedAt) >= restartTime {
+	for name, state := range s.replicas {
+		if len(state.runs) == 0 && now.Sub(state.crashedAt) >= restartTime {
 			delete(s.replicas, name)
 		}
 	}
--- a/internal/quarantine/running_test.go
+++ b/internal/quarantine/running_test.go
@@ -23,10 +23,10 @@
 	running.Finish(first)
 	running.Finish(first)
 	if _, ok := running.Start("r1", 2, RunAlone); !ok {
-		t.Fatal("the replica is not free for the next suspect")
+		t.Fatal("the replica does not accept the next suspect")
 	}
 	if _, ok := running.Start("r2", 1, RunAlone); !ok {
-		t.Fatal("the suspect is not free to run again")
+		t.Fatal("a finished suspect cannot run again")
 	}
 }
 
@@ -66,11 +66,11 @@
 			running := NewActiveRuns()
 			cause, _ := running.Start("r1", 1, Normal)
 			running.Crash(start, cause)
-			met, _ := running.Start("r1", 2, RunAlone)
+			later, _ := running.Start("r1", 2, RunAlone)
 			if test.answered {
-				running.Answered(met)
+				running.Answered(later)
 			}
-			if crashed := running.Crash(start.Add(test.after), met); len(crashed) != test.want {
+			if crashed := running.Crash(start.Add(test.after), later); len(crashed) != test.want {
 				t.Fatalf("crashed %v, want %d", crashed, test.want)
 			}
 			if running.SuspectOn("r1") || len(running.suspects) != 0 {
--- a/internal/quarantine/schedule_test.go
+++ b/internal/quarantine/schedule_test.go
@@ -15,21 +15,21 @@
 	scheduleLength   = 60 * time.Second
 	downTime         = 2 * time.Second
 	longestRun       = 2 * time.Second
-	// mostCrashes bounds the crashes by one poison request: the first two, and one
+	// maxCrashes bounds the crashes by one poison request: the first two, and one
 	// after each of the quarantines of 10, 20 and 40 s that end within the schedule.
-	mostCrashes = 4
-	// mostDelay bounds the delay of an innocent request beyond the time it is refused.
-	mostDelay = 10 * time.Second
+	maxCrashes = 4
+	// maxDelay bounds the delay of an innocent request beyond the time it is refused.
+	maxDelay = 10 * time.Second
 )
 
 // job is a request in the schedule.
 type job struct {
-	fp      Fingerprint
-	poison  bool
-	run     *Run
-	endsAt  time.Time
-	came    time.Time
-	refused time.Duration
+	fp        Fingerprint
+	poison    bool
+	run       *Run
+	endsAt    time.Time
+	arrivedAt time.Time
+	refused   time.Duration
 }
 
 // schedule simulates a node that uses the tracker.
@@ -52,12 +52,12 @@
 
 func (s *schedule) run(poisons int, arrivals float64) {
 	for i := range poisons {
-		s.waiting = append(s.waiting, &job{fp: Fingerprint(1000 + i), poison: true, came: s.now})
+		s.waiting = append(s.waiting, &job{fp: Fingerprint(1000 + i), poison: true, arrivedAt: s.now})
 	}
 	for end := s.now.Add(scheduleLength); s.now.Before(end); s.now = s.now.Add(scheduleStep) {
 		for s.random.Float64() < arrivals {
 			s.next++
-			s.waiting = append(s.waiting, &job{fp: 10000 + s.next, came: s.now})
+			s.waiting = append(s.waiting, &job{fp: 10000 + s.next, arrivedAt: s.now})
 			if s.next%8 == 0 {
 				break
 			}
@@ -112,8 +112,8 @@
 	return n
 }
 
-// end finishes the innocent jobs and crashes the replicas of the poison jobs
-// that are due.
+// end handles the jobs that are due: poison jobs crash their replicas, innocent
+// ones finish.
 func (s *schedule) end() {
 	for _, j := range s.started {
 		if j.poison && !j.endsAt.After(s.now) {
@@ -154,7 +154,7 @@
 	s.tracker.Finished(s.now, j.fp)
 	s.finished++
 	s.refused = max(s.refused, j.refused)
-	s.delayed = max(s.delayed, s.now.Sub(j.came))
+	s.delayed = max(s.delayed, s.now.Sub(j.arrivedAt))
 }
 
 // Runs random schedules of poison requests that are sent again and again, among
@@ -174,19 +174,19 @@
 		s.run(poisons, arrivals)
 		for fp, n := range s.crashes {
 			worstCrashes = max(worstCrashes, n)
-			if n > mostCrashes+poisons-1 {
+			if n > maxCrashes+poisons-1 {
 				t.Fatalf("poison %d crashed %d replicas", fp, n)
 			}
 		}
 		// With one poison request no innocent one is ever refused. Each further poison
-		// request can cause at most one quarantine of an innocent one, each time longer.
-		most := firstQuarantine * time.Duration(1<<(poisons-1)-1)
-		if s.refused > most || s.delayed > most+mostDelay {
+		// request can cause at maxRefused one quarantine of an innocent one, each time longer.
+		maxRefused := firstQuarantine * time.Duration(1<<(poisons-1)-1)
+		if s.refused > maxRefused || s.delayed > maxRefused+maxDelay {
 			t.Fatalf("%d poisons: an innocent was refused for %v (at most %v), delayed for %v",
-				poisons, s.refused, most, s.delayed)
+				poisons, s.refused, maxRefused, s.delayed)
 		}
 		if s.finished == 0 {
-			t.Fatal("no innocent finished")
+			t.Fatal("no innocent request finished")
 		}
 		worstRefused = max(worstRefused, s.refused)
 		worstDelayed = max(worstDelayed, s.delayed)
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -12,8 +12,8 @@
 	// is twice as long, up to longestQuarantine.
 	firstQuarantine   = 10 * time.Second
 	longestQuarantine = 10 * time.Minute
-	// suspectFor is how long an unresolved suspicion lasts.
-	suspectFor = 10 * time.Minute
+	// suspicionDuration is how long an unresolved suspicion lasts.
+	suspicionDuration = 10 * time.Minute
 	// DefaultMaxRecords is the default limit of records; the least recently used
 	// are evicted first.
 	DefaultMaxRecords = 4096
@@ -75,14 +75,14 @@
 	}
 	suspects := 0
 	for fp := range distinct {
-		if t.suspect(now, fp) {
+		if t.isSuspect(now, fp) {
 			suspects++
 		}
 	}
 	changed := make([]Record, 0, len(distinct))
 	for fp := range distinct {
-		named := suspects == 1 && t.suspect(now, fp)
-		changed = append(changed, t.crashed(now, fp, named))
+		isCause := suspects == 1 && t.isSuspect(now, fp)
+		changed = append(changed, t.recordCrash(now, fp, isCause))
 	}
 	return changed
 }
@@ -109,10 +109,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range records {
-		if mine, ok := t.get(r.Fingerprint); ok {
-			r = merge(mine, r)
+		if existing, ok := t.get(r.Fingerprint); ok {
+			r = merge(existing, r)
 		}
-		if now.Before(r.expires()) {
+		if now.Before(r.expiresAt()) {
 			t.put(r)
 		}
 	}
@@ -125,7 +125,7 @@
 	var kept []Record
 	for e := t.recent.Front(); e != nil; {
 		next := e.Next()
-		if r := e.Value.(Record); now.Before(r.expires()) {
+		if r := e.Value.(Record); now.Before(r.expiresAt()) {
 			kept = append(kept, r)
 		} else {
 			t.drop(e)
@@ -135,22 +135,22 @@
 	return kept
 }
 
-// suspect reports whether the request was a suspect before this crash. A
+// isSuspect reports whether the request was a isSuspect before this crash. A
 // quarantined request that still runs counts as well.
-func (t *Tracker) suspect(now time.Time, fp Fingerprint) bool {
+func (t *Tracker) isSuspect(now time.Time, fp Fingerprint) bool {
 	r, ok := t.get(fp)
 	return ok && r.verdict(now) != Normal
 }
 
-// crashed records a crash under the request; named means that it is taken to
-// be the only cause.
-func (t *Tracker) crashed(now time.Time, fp Fingerprint, named bool) Record {
+// recordCrash records a crash of a replica that ran the request; isCause means that
+// the request was the only suspect on it.
+func (t *Tracker) recordCrash(now time.Time, fp Fingerprint, isCause bool) Record {
 	r, ok := t.get(fp)
 	if !ok || r.verdict(now) == Normal {
 		r = Record{Fingerprint: fp, ClearedAt: r.ClearedAt}
 	}
 	r.LastCrash = now
-	if named && !now.Before(r.Until) {
+	if isCause && !now.Before(r.Until) {
 		r.Level++
 		r.Until = now.Add(quarantineFor(r.Level))
 	}
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -52,14 +52,14 @@
 		tracker.Crash(now, []Fingerprint{1})
 		verdict, wait := tracker.Decide(now, 1)
 		if verdict != Refuse || wait != want {
-			t.Fatalf("%s for %v, want %s for %v", verdict, wait, Refuse, want)
+			t.Fatalf("verdict %s for %v, want %s for %v", verdict, wait, Refuse, want)
 		}
 		now = now.Add(wait)
 		expect(t, tracker, now, 1, RunAlone)
 		want = min(2*want, longestQuarantine)
 	}
-	expect(t, tracker, now.Add(suspectFor), 1, Normal)
-	if left := tracker.Records(now.Add(suspectFor)); len(left) != 0 || tracker.count.Load() != 0 {
+	expect(t, tracker, now.Add(suspicionDuration), 1, Normal)
+	if left := tracker.Records(now.Add(suspicionDuration)); len(left) != 0 || tracker.count.Load() != 0 {
 		t.Fatalf("expired records were not removed: %v", left)
 	}
 }
@@ -113,6 +113,6 @@
 
 func TestFingerprintParts(t *testing.T) {
 	if FingerprintOf("a", "bc", nil) == FingerprintOf("ab", "c", nil) {
-		t.Fatal("the boundary between parts does not count")
+		t.Fatal("different parts have the same fingerprint")
 	}
 }
