--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -5,48 +5,49 @@
 )
 
 const (
-	// riseTime and fallTime are how fast the demand follows what is asked for:
-	// up at once, nearly, and down slowly, since a caller that is refused waits.
+	// riseTime and fallTime are the smoothing time constants for rising and
+	// falling demand. Demand falls slowly because refused callers back off
+	// before they retry.
 	riseTime = 2 * time.Second
 	fallTime = 10 * time.Second
-	// leastDemand is a demand that counts as none.
-	leastDemand = 1e-6
+	// minDemand is the value below which smoothed demand is set to zero.
+	minDemand = 1e-6
 )
 
-// Demand is what callers ask of a workspace's quota at this node.
+// Demand is the demand for a workspace's quota at this node.
 type Demand struct {
 	Workspace string
-	// Part is the part of the global quota that is asked for, refused requests
-	// included; 1 is the whole quota.
+	// Part is the demand as a fraction of the global quota, including refused
+	// requests; 1 is the whole quota.
 	Part float64
 }
 
-// demand measures what is asked for, as parts of the global quota.
+// demand measures the requested rate as a fraction of the global quota.
 type demand struct {
-	requests float64
-	tokens   float64
-	part     float64
-	at       time.Time
+	requests  float64
+	tokens    float64
+	part      float64
+	updatedAt time.Time
 }
 
-// note counts one request, taken or refused.
-func (d *demand) note(u *usage, tokens float64) {
+// record counts one request, admitted or refused.
+func (d *demand) record(u *usage, tokens float64) {
 	if u.quota.RequestsPerSecond > 0 {
 		d.requests += 1 / u.quota.RequestsPerSecond
 	}
 	d.correct(u, tokens)
 }
 
-// correct counts tokens beyond those noted, or fewer.
+// correct adds the difference between used and estimated tokens.
 func (d *demand) correct(u *usage, tokens float64) {
 	if u.quota.TokensPerSecond > 0 {
 		d.tokens += tokens / u.quota.TokensPerSecond
 	}
 }
 
-// update ends a period of measurement.
+// update ends the measurement interval and updates the smoothed demand.
 func (d *demand) update(now time.Time) {
-	elapsed := now.Sub(d.at)
+	elapsed := now.Sub(d.updatedAt)
 	if elapsed <= 0 {
 		return
 	}
@@ -56,14 +57,14 @@
 		follow = riseTime
 	}
 	d.part += (asked - d.part) * min(elapsed.Seconds()/follow.Seconds(), 1)
-	if d.part < leastDemand {
+	if d.part < minDemand {
 		d.part = 0
 	}
-	d.requests, d.tokens, d.at = 0, 0, now
+	d.requests, d.tokens, d.updatedAt = 0, 0, now
 }
 
-// Demands ends a period of measurement and returns the workspaces with a quota
-// that were lately asked for. It is meant to be called about once a second.
+// Demands ends the measurement interval and returns the workspaces with nonzero
+// demand. Call it about once per second.
 func (l *Limiter) Demands(now time.Time) []Demand {
 	var demands []Demand
 	for i := range l.shards {
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,12 +1,12 @@
-// Package quota bounds what each workspace uses at one node: requests and
-// estimated tokens a second, from token buckets that hold a few seconds of use.
+// Package quota limits the requests and estimated tokens per second of each
+// workspace at one node, using token buckets with a burst of a few seconds.
 //
-// A node holds a share of each workspace's global quota, set from outside (package
-// quotashare), and measures the demand, refused requests included; the
-// shares of all nodes should add up to 1. State is sharded by workspace, each
-// shard under its own lock; it is safe for concurrent use.
+// A node enforces its share of each workspace's global quota and measures the
+// demand, including refused requests. Package quotashare sets the shares, which
+// should add up to 1 over all nodes. State is sharded by workspace, one lock per
+// shard, and is safe for concurrent use.
 //
-// It holds soft state, bounded by the configured workspaces; losing it, as at a
-// start, gives each workspace one full bucket again. In a platform outage the
-// last quotas and shares go on to hold.
+// State is in memory only and bounded by the number of configured workspaces.
+// After a restart each workspace starts with a full bucket. During a platform
+// outage the last known quotas and shares stay in force.
 package quota
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -10,13 +10,13 @@
 	"galenatrestle/internal/refusal"
 )
 
-// shards is the number of locks; a power of two.
+// shards is the number of independently locked shards.
 const shards = 64
 
-// stepQuota names the step in refusals.
+// stepQuota is the step reported in refusals.
 const stepQuota = "quota"
 
-// Limiter holds the quotas of all workspaces at one node.
+// Limiter enforces the quotas of all workspaces at one node.
 type Limiter struct {
 	shards [shards]shard
 }
@@ -26,7 +26,7 @@
 	usages map[string]*usage
 }
 
-// NewLimiter returns a limiter without workspaces: nothing is bounded.
+// NewLimiter returns a limiter without quotas, which admits every request.
 func NewLimiter() *Limiter {
 	l := &Limiter{}
 	for i := range l.shards {
@@ -39,8 +39,8 @@
 	return &l.shards[xxhash.Sum64String(workspace)%shards]
 }
 
-// SetQuotas puts the workspaces' quotas in force and forgets all others. A
-// workspace that was not known before starts with a full bucket and the given
+// SetQuotas replaces the quotas of all workspaces; a workspace not in quotas is
+// no longer limited. A new workspace starts with a full bucket and the given
 // share of its quota.
 func (l *Limiter) SetQuotas(now time.Time, quotas map[string]config.Quota, share float64) {
 	for i := range l.shards {
@@ -66,7 +66,7 @@
 	defer s.mu.Unlock()
 	u, ok := s.usages[workspace]
 	if !ok {
-		u = &usage{share: share, demand: demand{at: now}}
+		u = &usage{share: share, demand: demand{updatedAt: now}}
 		s.usages[workspace] = u
 	}
 	if ok && u.quota == quota {
@@ -86,8 +86,8 @@
 	}
 }
 
-// Take takes one request with its estimated tokens, prompt and answer, from the
-// workspace's quota, or refuses it with the time until it would fit.
+// Take charges one request with its estimated tokens, prompt and answer, to the
+// workspace's quota, or returns a refusal with the time after which to retry.
 func (l *Limiter) Take(now time.Time, workspace string, tokens float64) *refusal.Error {
 	s := l.shard(workspace)
 	s.mu.Lock()
@@ -99,8 +99,8 @@
 	return u.takeOrRefuse(now, workspace, tokens)
 }
 
-// Correct puts the tokens that were used in place of those estimated, at the
-// end of a request. Used more than estimated goes into debt.
+// Correct replaces a request's estimated tokens by the tokens used, at the end
+// of the request. The bucket level may become negative.
 func (l *Limiter) Correct(now time.Time, workspace string, estimated, used float64) {
 	s := l.shard(workspace)
 	s.mu.Lock()
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -19,7 +19,7 @@
 	return l
 }
 
-// admitted counts the requests let through at now.
+// admitted counts the requests admitted at now, up to 1000.
 func admitted(l *Limiter, now time.Time, tokens float64) int {
 	count := 0
 	for l.Take(now, "w", tokens) == nil && count < 1000 {
@@ -49,11 +49,11 @@
 	}
 	l.Correct(start, "w", 50, 0)
 	if got := admitted(l, start, 50); got != 1 {
-		t.Errorf("admitted %d after giving back, want 1", got)
+		t.Errorf("admitted %d after tokens were returned, want 1", got)
 	}
 	l.Correct(start, "w", 50, 250)
 	if refused := l.Take(start, "w", 50); refused == nil || refused.RetryAfter != 2500*time.Millisecond {
-		t.Errorf("Take = %v in debt, want a refusal for 2.5s", refused)
+		t.Errorf("Take = %v with a negative level, want a refusal for 2.5s", refused)
 	}
 }
 
@@ -63,22 +63,22 @@
 		t.Errorf("Take = %v, want admission from a full bucket", refused)
 	}
 	if refused := l.Take(start, "w", 1); refused == nil {
-		t.Error("Take admitted from a bucket in debt")
+		t.Error("Take admitted a request with a negative level")
 	}
 }
 
 func TestShare(t *testing.T) {
 	l := limiter(config.Quota{RequestsPerSecond: 40}, 0.25)
 	if got := admitted(l, start, 0); got != 20 {
-		t.Errorf("burst = %d at a quarter, want 20", got)
+		t.Errorf("burst = %d with a share of 0.25, want 20", got)
 	}
 	l.SetShare(start, "w", 0.5)
 	if got := admitted(l, start.Add(time.Second), 0); got != 20 {
-		t.Errorf("a second later = %d at a half, want 20", got)
+		t.Errorf("a second later = %d with a share of 0.5, want 20", got)
 	}
 }
 
-func TestNoShareIsNotUnbounded(t *testing.T) {
+func TestZeroShareIsStillLimited(t *testing.T) {
 	l := limiter(config.Quota{RequestsPerSecond: 10}, 1)
 	l.SetShare(start, "w", 0)
 	admitted(l, start, 0)
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestSameQuotaKeepsTheBucketAndUnknownIsFree(t *testing.T) {
+func TestSameQuotaKeepsBucketAndUnknownWorkspaceIsAdmitted(t *testing.T) {
 	quota := config.Quota{RequestsPerSecond: 10}
 	l := limiter(quota, 1)
 	admitted(l, start, 0)
@@ -97,7 +97,7 @@
 	}
 	l.SetQuotas(start, nil, 1)
 	if refused := l.Take(start, "w", 0); refused != nil {
-		t.Errorf("Take = %v of a workspace without quota, want admission", refused)
+		t.Errorf("Take = %v for a workspace without quota, want admission", refused)
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 }
 
-// BenchmarkBytes reports the memory of a workspace besides its name.
+// BenchmarkBytes reports the heap bytes per workspace, without its name.
 func BenchmarkBytes(b *testing.B) {
 	const count = 11000
 	quotas := make(map[string]config.Quota)
--- a/internal/quota/shares.go
+++ b/internal/quota/shares.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// SetShares sets this node's shares, from 0 to 1, of the workspaces' quotas:
-// the named ones and, for all others, the even share.
+// SetShares sets this node's shares, from 0 to 1, of the workspaces' quotas.
+// Workspaces not in shares get the even share.
 func (l *Limiter) SetShares(now time.Time, even float64, shares map[string]float64) {
 	for i := range l.shards {
 		l.shards[i].setShares(now, even, shares)
--- a/internal/quota/usage.go
+++ b/internal/quota/usage.go
@@ -8,22 +8,23 @@
 	"galenatrestle/internal/refusal"
 )
 
-// defaultBurst is the seconds of use that may be taken at once.
+// defaultBurst is the bucket capacity in seconds of the rate.
 const defaultBurst = 2
 
-// leastShare takes the place of smaller shares: a rate of zero would mean that
-// nothing is bounded.
-const leastShare = 0.001
+// minShare replaces smaller shares, because a bucket with a rate of zero has no
+// limit.
+const minShare = 0.001
 
-// usage is one workspace's use at this node.
+// usage is the quota state of one workspace at this node.
 type usage struct {
 	quota    config.Quota
 	share    float64
 	requests bucket
 	tokens   bucket
-	// answer is the mean length of an answer, 0 before the first.
-	answer float64
-	demand demand
+	// meanAnswer is the moving average of answer lengths in tokens, 0 before the
+	// first answer.
+	meanAnswer float64
+	demand     demand
 }
 
 func (u *usage) setShare(now time.Time, share float64) {
@@ -39,14 +40,15 @@
 	if burst <= 0 {
 		burst = defaultBurst
 	}
-	share := max(u.share, leastShare)
-	u.requests.set(now, u.quota.RequestsPerSecond*share, burst)
-	u.tokens.set(now, u.quota.TokensPerSecond*share, burst)
+	share := max(u.share, minShare)
+	u.requests.setRate(now, u.quota.RequestsPerSecond*share, burst)
+	u.tokens.setRate(now, u.quota.TokensPerSecond*share, burst)
 }
 
-// takeOrRefuse takes one request and its tokens, and counts them as asked for.
+// takeOrRefuse charges one request and its tokens, or returns a refusal. Either
+// way the request counts as demand.
 func (u *usage) takeOrRefuse(now time.Time, workspace string, tokens float64) *refusal.Error {
-	u.demand.note(u, tokens)
+	u.demand.record(u, tokens)
 	wait := u.take(now, tokens)
 	if wait <= 0 {
 		return nil
@@ -57,7 +59,8 @@
 	return refused
 }
 
-// take takes one request and its tokens, or returns how long to wait.
+// take charges one request and its tokens and returns 0, or charges nothing and
+// returns how long to wait.
 func (u *usage) take(now time.Time, tokens float64) time.Duration {
 	wait := max(u.requests.wait(now, 1), u.tokens.wait(now, tokens))
 	if wait > 0 {
--- a/internal/quota/use.go
+++ b/internal/quota/use.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// firstAnswer is the answer's length, in tokens, taken for a workspace of
-	// which no answer has been seen.
-	firstAnswer = 256
-	// learnPart is how much of a new answer's length goes into the mean.
-	learnPart = 0.1
+	// defaultAnswerTokens is the expected answer length before a workspace's
+	// first answer.
+	defaultAnswerTokens = 256
+	// meanWeight is the weight of a new answer in the moving average.
+	meanWeight = 0.1
 )
 
-// Use is what one request was taken to use, in tokens.
+// Use is the estimated use of one request, in tokens.
 type Use struct {
 	Prompt float64
 	Answer float64
 }
 
-// TakeAnswer takes one request from the workspace's quota, with its prompt and
-// the answer to expect: the workspace's mean so far, at most maxAnswer tokens
-// where that is above zero. Or it refuses with the time until it would fit.
+// TakeAnswer charges one request to the workspace's quota, with its prompt and
+// expected answer in tokens, or returns a refusal with the time after which to
+// retry. The expected answer is the workspace's average, at most maxAnswer if
+// that is above zero.
 func (l *Limiter) TakeAnswer(now time.Time, workspace string, prompt, maxAnswer int) (Use, *refusal.Error) {
 	s := l.shard(workspace)
 	s.mu.Lock()
@@ -32,13 +33,13 @@
 	if !ok {
 		return use, nil
 	}
-	use.Answer = u.expect(maxAnswer)
+	use.Answer = u.expectedAnswer(maxAnswer)
 	return use, u.takeOrRefuse(now, workspace, use.Prompt+use.Answer)
 }
 
-// Settle puts the tokens that were used in place of those taken, at the end of
-// a request. Used more than taken goes into debt. An answer of zero tokens is
-// not learned from.
+// Settle replaces a request's estimated tokens by the tokens used, at the end of
+// the request. The bucket level may become negative. An answer of zero tokens
+// does not change the average answer length.
 func (l *Limiter) Settle(now time.Time, workspace string, taken Use, prompt, answer float64) {
 	l.Correct(now, workspace, taken.Prompt+taken.Answer, prompt+answer)
 	if answer <= 0 {
@@ -48,15 +49,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if u, ok := s.usages[workspace]; ok {
-		u.learn(answer)
+		u.updateMeanAnswer(answer)
 	}
 }
 
-// expect returns the length to expect of an answer.
-func (u *usage) expect(maxAnswer int) float64 {
-	expected := u.answer
+// expectedAnswer returns the expected answer length in tokens. A maxAnswer of
+// zero means no maximum.
+func (u *usage) expectedAnswer(maxAnswer int) float64 {
+	expected := u.meanAnswer
 	if expected == 0 {
-		expected = firstAnswer
+		expected = defaultAnswerTokens
 	}
 	if maxAnswer > 0 {
 		expected = min(expected, float64(maxAnswer))
@@ -64,10 +66,10 @@
 	return expected
 }
 
-func (u *usage) learn(answer float64) {
-	if u.answer == 0 {
-		u.answer = answer
+func (u *usage) updateMeanAnswer(answer float64) {
+	if u.meanAnswer == 0 {
+		u.meanAnswer = answer
 		return
 	}
-	u.answer += learnPart * (answer - u.answer)
+	u.meanAnswer += meanWeight * (answer - u.meanAnswer)
 }
--- a/internal/quota/use_test.go
+++ b/internal/quota/use_test.go
@@ -8,30 +8,30 @@
 	"galenatrestle/internal/config"
 )
 
-func TestAnswersAreLearnedAndSettled(t *testing.T) {
+func TestSettleUpdatesMeanAnswer(t *testing.T) {
 	l := limiter(config.Quota{TokensPerSecond: 1000, Burst: 1}, 1)
 	use, refused := l.TakeAnswer(start, "w", 10, 0)
-	if refused != nil || use != (Use{Prompt: 10, Answer: firstAnswer}) {
-		t.Fatalf("took %+v, %v", use, refused)
+	if refused != nil || use != (Use{Prompt: 10, Answer: defaultAnswerTokens}) {
+		t.Fatalf("TakeAnswer = %+v, %v", use, refused)
 	}
 	l.Settle(start, "w", use, 10, 90)
 	if got := admitted(l, start, 100); got != 9 {
-		t.Errorf("%d of 9 further uses of 100 tokens fit", got)
+		t.Errorf("admitted %d requests of 100 tokens, want 9", got)
 	}
 	later := start.Add(time.Minute)
 	if use, _ := l.TakeAnswer(later, "w", 10, 0); use.Answer != 90 {
-		t.Errorf("expected %v tokens after an answer of 90", use.Answer)
+		t.Errorf("expected answer = %v tokens, want 90", use.Answer)
 	}
 	if use, _ := l.TakeAnswer(later, "w", 10, 20); use.Answer != 20 {
-		t.Errorf("expected %v tokens of at most 20", use.Answer)
+		t.Errorf("expected answer = %v tokens, want the maximum of 20", use.Answer)
 	}
 	l.Settle(later, "w", Use{Answer: 90}, 0, 0)
 	if use, _ := l.TakeAnswer(later, "w", 10, 0); use.Answer != 90 {
-		t.Errorf("what did not run was learned: %v", use.Answer)
+		t.Errorf("expected answer = %v tokens after an empty answer, want 90", use.Answer)
 	}
 }
 
-func TestDemandCountsWhatIsRefused(t *testing.T) {
+func TestDemandCountsRefusedRequests(t *testing.T) {
 	l := limiter(config.Quota{RequestsPerSecond: 10, TokensPerSecond: 1000}, 0.25)
 	for second := range 30 {
 		for range 5 {
@@ -51,15 +51,15 @@
 	}
 }
 
-func TestSharesOfAll(t *testing.T) {
+func TestSetShares(t *testing.T) {
 	l := NewLimiter()
 	l.SetQuotas(start, map[string]config.Quota{"w": {RequestsPerSecond: 40}, "v": {RequestsPerSecond: 40}}, 1)
 	l.SetShares(start, 0.25, map[string]float64{"v": 0.5})
 	if got := admitted(l, start, 0); got != 20 {
-		t.Errorf("admitted %d at the even share, want 20", got)
+		t.Errorf("admitted %d with the even share, want 20", got)
 	}
 	l.SetShares(start, 0.25, map[string]float64{"w": 0.5})
 	if got := admitted(l, start.Add(time.Second), 0); got != 20 {
-		t.Errorf("a second later %d at a half, want 20", got)
+		t.Errorf("a second later: admitted %d with a share of 0.5, want 20", got)
 	}
 }
