--- a/internal/credit/ask.go
+++ b/internal/credit/ask.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Ask states one node's need of one replica's slots. It is a full statement:
-// it may be repeated, and a later one replaces it.
+// Ask is one node's request for slots of one replica. It carries the full state:
+// repeating it is harmless, and a later Ask replaces it.
 type Ask struct {
 	Replica string
-	// Limit is the concurrency limit that the node believes in.
+	// Limit is the replica's concurrency limit as known to the node.
 	Limit int
 	// Used is the number of slots in use at the node.
 	Used int
-	// Want is the number of slots for those in use and for the requests that
-	// wait in the most urgent tier.
+	// Want is the number of slots in use plus those needed by the requests
+	// waiting in the most urgent tier.
 	Want int
-	// Extra is the number of further slots of use: for less urgent requests, or
-	// prepaid.
+	// Extra is the number of further slots the node can use, for less urgent
+	// requests or as a reserve.
 	Extra int
-	// Waiting tells that requests of the upstream wait at the node, be it for
-	// other replicas: it then keeps its slots against less urgent ones.
+	// Waiting reports whether requests for the upstream are queued at the node,
+	// for any of its replicas. The node then has priority over less urgent ones.
 	Waiting bool
-	// Tier and Slack are of the most urgent request waiting; 0 is the highest
-	// tier.
+	// Tier and Slack belong to the most urgent waiting request; tier 0 is the
+	// highest.
 	Tier  int
 	Slack time.Duration
 }
 
-// slackMargin is the difference of slack below which two asks of a tier are
-// alike: taking slots from one for the other would leave them idle meanwhile.
+// slackMargin is the slack difference up to which two asks of a tier have equal
+// priority, because slots are idle while they move between nodes.
 const slackMargin = 5 * time.Second
 
-// before reports whether a waiting ask comes before another.
+// before reports whether a has priority over b.
 func (a Ask) before(b Ask) bool {
 	if a.Waiting != b.Waiting {
 		return a.Waiting
@@ -40,8 +40,8 @@
 	return a.Slack < b.Slack-slackMargin
 }
 
-// Grant allows a node slots of a replica, those in use included. A node that
-// uses more starts nothing new there until enough have ended.
+// Grant is the number of slots of a replica that a node may use, including those
+// in use. A node above it starts no request there until enough have ended.
 type Grant struct {
 	Replica string
 	Slots   int
--- a/internal/credit/doc.go
+++ b/internal/credit/doc.go
@@ -1,11 +1,11 @@
-// Package credit shares the replicas' slots between nodes. Each replica has an
-// owner node (rendezvous hashing over the serving members); the others state
-// their needs to it and get a number of slots for a time. Slots go to the
-// highest tier and the least slack among all nodes. Owner and Wallet are pure;
-// Exchange carries asks over connect.
+// Package credit divides the concurrency slots of replicas between nodes. Each
+// replica has an owner node, chosen by rendezvous hashing over the serving
+// members. Nodes send asks to the owner and receive leases on slots, highest tier
+// and least slack first. Owner and Wallet do no I/O; Exchange sends the asks over
+// connect.
 //
-// It is soft state, bounded by the region's replicas times its nodes: a lost or
-// doubled message, a changed owner or two owners at once cost efficiency only,
-// since each replica's own limit still holds at each node. It needs no
-// platform; without the owner a node takes its fair part of the limit.
+// State is in memory and bounded by replicas times nodes of the region. Lost or
+// duplicated messages, owner changes and two concurrent owners only reduce
+// efficiency, since each node still enforces the replica's limit. The platform is
+// not needed. If the owner is unreachable, a node uses an equal part of the limit.
 package credit
--- a/internal/credit/exchange.go
+++ b/internal/credit/exchange.go
@@ -20,40 +20,39 @@
 )
 
 const (
-	// planInterval is how often the exchange looks at what is due.
+	// planInterval is the time between two checks for asks that are due.
 	planInterval = 100 * time.Millisecond
-	// askTimeout bounds one call to an owner.
+	// askTimeout is the timeout of one call to an owner.
 	askTimeout = time.Second
-	// sweepInterval is the time between two clean-ups.
+	// sweepInterval is the time between two removals of expired state.
 	sweepInterval = 10 * time.Second
-	// maxAsks bounds the asks of one message.
+	// maxAsks is the maximum number of asks in one message.
 	maxAsks = 1024
 )
 
 const stepAsk = "ask for credits"
 
-// Members is what the exchange reads of the membership.
+// Members provides the current membership.
 type Members interface {
 	View() *membership.Snapshot
 }
 
-// Options are what an Exchange is created with.
+// Options configures an Exchange.
 type Options struct {
-	// Node is this node's name.
 	Node    string
 	Members Members
 	Clients *peer.Clients
-	// Needs returns what this node needs now; the exchange fills in the owners.
+	// Needs returns this node's current needs; the exchange sets the owners.
 	Needs func() []Need
-	// Allow is told the slots of a replica that this node may use, whenever
-	// they change.
+	// Allow is called with the number of slots of a replica that this node may
+	// use, whenever it changes. It may be Unbounded.
 	Allow      func(upstream, replica string, slots int)
 	Settings   Settings
 	Rand       *rand.Rand
 	Registerer prometheus.Registerer
 }
 
-// Exchange drives this node's Owner and Wallet. It is safe for concurrent use.
+// Exchange runs this node's Owner and Wallet. It is safe for concurrent use.
 type Exchange struct {
 	options Options
 	metrics *metrics
@@ -65,7 +64,7 @@
 	walletMu sync.Mutex
 	wallet   *Wallet
 
-	// allowed holds what Allow was last told; only the loop uses it.
+	// allowed has the slots last passed to Allow; only the loop uses it.
 	allowed map[allowKey]int
 }
 
@@ -84,7 +83,7 @@
 		Self:           options.Node,
 		HandleLocal:    func(asks []Ask) []Grant { return e.handle(options.Node, asks) },
 		Call:           e.call,
-		HandleResponse: e.take,
+		HandleResponse: e.applyResponse,
 	}
 	return e
 }
@@ -111,7 +110,7 @@
 	return e.owner.Handle(time.Now(), node, nodes, asks)
 }
 
-// Run exchanges credits until ctx ends, and returns after the last call has.
+// Run exchanges credits until ctx is done, and returns after pending calls end.
 func (e *Exchange) Run(ctx context.Context) {
 	defer e.asks.Wait()
 	rounds.Loop{
@@ -120,7 +119,7 @@
 	}.Run(ctx)
 }
 
-// step sends what is due and passes on the allowances.
+// step sends the asks that are due and updates the allowances.
 func (e *Exchange) step(ctx context.Context, _ time.Time) {
 	view := e.options.Members.View()
 	needs := e.options.Needs()
@@ -130,7 +129,7 @@
 	for owner, asks := range e.plan(needs) {
 		e.asks.Send(ctx, owner, membership.PeerAddress(view, owner), asks)
 	}
-	e.allow(needs, view.Serving())
+	e.updateAllowances(needs, view.Serving())
 }
 
 func setOwners(view *membership.Snapshot, replicas []ReplicaNeed) {
@@ -139,8 +138,8 @@
 	}
 }
 
-// plan returns what is due, less what goes to owners that have not answered
-// yet.
+// plan returns the asks that are due, by owner, without owners that have a call
+// in flight.
 func (e *Exchange) plan(needs []Need) map[string][]Ask {
 	busy := e.asks.InFlight()
 	e.walletMu.Lock()
@@ -166,9 +165,9 @@
 	return grantsFromWire(response.Msg.GetGrants()), nil
 }
 
-// take takes in an owner's answer; without one the credits run out by themselves
-// and the fair part counts.
-func (e *Exchange) take(_ string, _ []Ask, grants []Grant, err error) {
+// applyResponse applies an owner's grants. After a failed call the credits expire
+// and the node falls back to FairPart.
+func (e *Exchange) applyResponse(_ string, _ []Ask, grants []Grant, err error) {
 	if err != nil {
 		e.metrics.failed.Inc()
 	}
@@ -177,8 +176,8 @@
 	e.wallet.Apply(time.Now(), grants)
 }
 
-// allow passes on the allowances that have changed.
-func (e *Exchange) allow(needs []Need, nodes int) {
+// updateAllowances calls Allow for each allowance that has changed.
+func (e *Exchange) updateAllowances(needs []Need, nodes int) {
 	seen := make(map[allowKey]bool)
 	for _, need := range needs {
 		for replica, slots := range e.allowances(need, nodes) {
--- a/internal/credit/market_bench_test.go
+++ b/internal/credit/market_bench_test.go
@@ -5,18 +5,16 @@
 	"time"
 )
 
-// The sizes: today's, and the letter's for one region with answers of 455
-// tokens at 35 ms, that is 16 s.
-func todaySize() marketSize {
+func smallCluster() marketSize {
 	return marketSize{nodes: 8, replicas: 20, models: 1, limit: 8, service: 4 * time.Second}
 }
 
-func letterSize() marketSize {
+func largeRegion() marketSize {
 	return marketSize{nodes: 60, replicas: 352, models: 8, limit: 90, service: 16 * time.Second, perNode: 27}
 }
 
-// rate sets the load as a part of the capacity.
-func (s marketSize) at(load float64) marketSize {
+// withLoad sets the load as a fraction of the capacity.
+func (s marketSize) withLoad(load float64) marketSize {
 	s.perNode = load * float64(s.replicas*s.limit) / s.service.Seconds() / float64(s.nodes)
 	return s
 }
@@ -27,14 +25,14 @@
 		size  marketSize
 		set   Settings
 	}{
-		{"letter/owners=4", letterSize(), Settings{Owners: 4}},
-		{"letter/owners=8", letterSize(), Settings{}},
-		{"letter/owners=8,overload", letterSize().at(1.2), Settings{}},
-		{"letter/all", letterSize(), Settings{Owners: 60}},
-		{"today/load=0.7", todaySize().at(0.7), Settings{}},
-		{"today/load=1.0", todaySize().at(1), Settings{}},
-		{"today/load=1.5", todaySize().at(1.5), Settings{}},
-		{"today/load=2.0", todaySize().at(2), Settings{}},
+		{"large/owners=4", largeRegion(), Settings{Owners: 4}},
+		{"large/owners=8", largeRegion(), Settings{}},
+		{"large/owners=8,overload", largeRegion().withLoad(1.2), Settings{}},
+		{"large/all", largeRegion(), Settings{Owners: 60}},
+		{"small/load=0.7", smallCluster().withLoad(0.7), Settings{}},
+		{"small/load=1.0", smallCluster().withLoad(1), Settings{}},
+		{"small/load=1.5", smallCluster().withLoad(1.5), Settings{}},
+		{"small/load=2.0", smallCluster().withLoad(2), Settings{}},
 	}
 	for _, c := range cases {
 		c.size.settings = c.set
--- a/internal/credit/market_check_test.go
+++ b/internal/credit/market_check_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestHighTierIsServedWhereverItArrives sends all of tier 0 to two nodes of
-// eight at 1.5 times the capacity: credits must bring them slots that the fair
-// part does not, without going over any replica's limit.
+// TestHighTierIsServedWhereverItArrives sends all tier 0 requests to two of eight
+// nodes at 1.5 times the capacity. Credits must give these nodes more than their
+// fair part without exceeding a replica's limit.
 func TestHighTierIsServedWhereverItArrives(t *testing.T) {
-	size := todaySize().at(1.5)
+	size := smallCluster().withLoad(1.5)
 	size.skew = true
 	shared := newMarket(size).measure(10*time.Second, 20*time.Second)
 	size.alone = true
@@ -18,7 +18,7 @@
 		t.Errorf("tier 0 waits %.2f s on average with credits, %.2f s without", shared.mean0, alone.mean0)
 	}
 	if shared.over > 0 {
-		t.Errorf("a replica was over its limit in %.4f of the looks", shared.over)
+		t.Errorf("a replica was over its limit in a fraction %.4f of the steps", shared.over)
 	}
 	if shared.busy < 0.85 {
 		t.Errorf("only %.2f of the slots are in use", shared.busy)
--- a/internal/credit/market_test.go
+++ b/internal/credit/market_test.go
@@ -15,22 +15,22 @@
 	creditv1 "galenatrestle/internal/gen/trestle/credit/v1"
 )
 
-// callOverhead is the bytes of one unary call beyond its messages, as measured
-// in package membership.
+// callOverhead is the number of bytes of one unary call beyond its messages.
 const callOverhead = 330
 
 const marketStep = 100 * time.Millisecond
 
-// marketSize is one case of the measurement.
+// marketSize configures a simulation.
 type marketSize struct {
 	nodes, replicas, limit int
-	// models is the number of upstreams to which the replicas belong in turn.
+	// models is the number of upstreams to which the replicas are assigned round robin.
 	models int
-	// perNode is each node's requests a second, service the mean time of one.
+	// perNode is the request rate per node and second, service the mean duration
+	// of a request.
 	perNode  float64
 	service  time.Duration
 	settings Settings
-	// alone leaves each node with its fair part and no messages.
+	// alone disables messages: each node uses its fair part.
 	alone bool
 	// skew sends all of tier 0 to the first quarter of the nodes.
 	skew bool
@@ -42,7 +42,8 @@
 	arrived time.Time
 }
 
-// marketNode is one node: its queue, what it runs, and both roles.
+// marketNode is a simulated node with its queue, running requests, wallet and
+// owner.
 type marketNode struct {
 	name    string
 	wallet  *Wallet
@@ -53,8 +54,8 @@
 	calls   int
 }
 
-// market drives nodes that share replicas by credits; each message is encoded
-// and counted.
+// market simulates nodes that share replicas by credits, and counts the encoded
+// bytes of each message.
 type market struct {
 	marketSize
 	now     time.Time
@@ -116,8 +117,8 @@
 	})
 }
 
-// arrive draws the step's arrivals: a fifth of them in tier 0, the rest in
-// tier 3.
+// arrive adds the step's Poisson arrivals, a fifth of them in tier 0 and the rest
+// in tier 3.
 func (m *market) arrive(i int, n *marketNode) {
 	rates := map[int]float64{0: m.perNode / 5, 3: m.perNode * 4 / 5}
 	if m.skew && i < m.nodes/4 {
@@ -194,7 +195,8 @@
 	}
 }
 
-// begin starts what the allowances permit, on the replica with most room.
+// begin starts queued requests within the allowances, on the replica with the
+// most free slots.
 func (m *market) begin(i int, n *marketNode) {
 	if len(n.queue) == 0 {
 		return
@@ -261,13 +263,13 @@
 	}
 }
 
-// figures is what a measurement shows.
+// figures are the results of a simulation.
 type figures struct {
 	bytesPerSecond, worst, callsPerSecond, bytesPerStart float64
-	// wait0 is tier 0's 99th percentile in seconds.
+	// wait0 is the 99th percentile of tier 0 waits; all waits are in seconds.
 	wait0, mean0, mean3 float64
-	// busy is the part of all slots in use, over the part of replica steps
-	// beyond the limit.
+	// busy is the fraction of slots in use; over is the fraction of replica steps
+	// above the limit.
 	busy, over float64
 }
 
--- a/internal/credit/owner.go
+++ b/internal/credit/owner.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// Owner hands out the slots of the replicas that this node owns. It is pure
-// and not safe for concurrent use.
+// Owner leases the slots of the replicas that this node owns. It does no I/O and
+// is not safe for concurrent use.
 type Owner struct {
 	settings Settings
 	replicas map[string]*book
 }
 
-// book is the owner's account of one replica.
+// book has the leases of one replica.
 type book struct {
-	// opened is when the owner first heard of the replica.
-	opened time.Time
-	leases map[string]lease
+	// createdAt is when the owner received the first ask for the replica.
+	createdAt time.Time
+	leases    map[string]lease
 }
 
-// lease is what one node holds of one replica.
+// lease is the number of slots granted to one node, with its last ask.
 type lease struct {
 	ask     Ask
 	slots   int
-	asked   time.Time
+	askedAt time.Time
 	expires time.Time
 }
 
-// held is what the node may have running: its slots, or more where slots were
-// taken back that are still in use.
+// held returns the number of slots that the node may be using: those granted, or
+// more if a smaller grant left some still in use.
 func (l lease) held() int { return max(l.slots, l.ask.Used) }
 
-// missing is what the node waits for beyond what it holds. A need told long ago
-// counts no more: slots kept for it would stand idle.
-func (l lease) missing(now time.Time) int {
-	if !l.ask.Waiting || now.Sub(l.asked) > needTime {
+// unmet returns the number of slots that the node needs beyond those it holds.
+// It is 0 for an old ask, since slots kept free for it would stay idle.
+func (l lease) unmet(now time.Time) int {
+	if !l.ask.Waiting || now.Sub(l.askedAt) > unmetNeedTTL {
 		return 0
 	}
 	return max(l.ask.Want-l.held(), 0)
 }
 
-// needTime is how long slots are kept free for a node that waits.
-const needTime = 2 * time.Second
+// unmetNeedTTL is how long after an ask slots are kept free for its unmet need.
+const unmetNeedTTL = 2 * time.Second
 
-// NewOwner returns an owner that knows of no replica.
+// NewOwner returns an owner without leases.
 func NewOwner(settings Settings) *Owner {
 	return &Owner{settings: settings.withDefaults(), replicas: make(map[string]*book)}
 }
 
-// Handle takes in a node's asks and returns the grants in their order. nodes is
+// Handle records a node's asks and returns one grant for each, in order. nodes is
 // the number of serving members.
 func (o *Owner) Handle(now time.Time, node string, nodes int, asks []Ask) []Grant {
 	grants := make([]Grant, len(asks))
@@ -65,23 +65,23 @@
 	}
 	b.expire(now)
 	slots := b.allot(now, node, ask, o.settings.LowShare)
-	if now.Sub(b.opened) < o.settings.Renew {
-		// Nodes that this owner has not heard of yet may hold slots from the
-		// owner before it.
+	if now.Sub(b.createdAt) < o.settings.Renew {
+		// Nodes that have not sent an ask yet may hold slots leased by the
+		// previous owner.
 		slots = min(slots, max(ask.Used, FairPart(ask.Limit, nodes)))
 	}
-	b.leases[node] = lease{ask: ask, slots: slots, asked: now, expires: now.Add(o.settings.LeaseTime)}
+	b.leases[node] = lease{ask: ask, slots: slots, askedAt: now, expires: now.Add(o.settings.LeaseTime)}
 	return Grant{Replica: ask.Replica, Slots: slots, For: o.settings.LeaseTime}
 }
 
-// Release drops what a node held, as when it has left.
+// Release removes all leases of a node, for example when it has left.
 func (o *Owner) Release(node string) {
 	for _, b := range o.replicas {
 		delete(b.leases, node)
 	}
 }
 
-// Sweep forgets the replicas on which nobody holds anything any more.
+// Sweep removes expired leases, and replicas without leases.
 func (o *Owner) Sweep(now time.Time) {
 	for name, b := range o.replicas {
 		if b.expire(now); len(b.leases) == 0 {
@@ -97,7 +97,7 @@
 	if len(o.replicas) >= maxReplicas {
 		return nil
 	}
-	b := &book{opened: now, leases: make(map[string]lease)}
+	b := &book{createdAt: now, leases: make(map[string]lease)}
 	o.replicas[replica] = b
 	return b
 }
@@ -110,13 +110,13 @@
 	}
 }
 
-// allot works out the slots of one node: what it wants, as far as the limit
-// leaves room after the others' slots and after what more urgent ones wait for.
+// allot returns the number of slots for an ask, limited by the slots that other
+// nodes hold and by the unmet needs of those with priority over it.
 func (b *book) allot(now time.Time, node string, ask Ask, lowShare float64) int {
-	rest := b.rest(now, node, ask)
+	rest := b.sumPeers(now, node, ask)
 	free := max(ask.Limit-rest.held, 0)
-	// What the more urgent ones leave may be had, and what the less urgent
-	// ones together may keep.
+	// Slots beyond the urgent need are available. Less urgent nodes together
+	// also keep lowShare of the limit, so that they are not starved.
 	urgent := max(rest.urgent-rest.ending, 0)
 	left := max(free-urgent, 0)
 	if urgent > 0 {
@@ -124,33 +124,34 @@
 		left = max(left, min(free, low))
 	}
 	slots := min(ask.Want, left)
-	spare := max(free-slots-rest.missing, 0)
+	spare := max(free-slots-rest.unmet, 0)
 	return slots + min(ask.Extra, spare)
 }
 
-// others is what the other nodes have to do with an ask.
-type others struct {
-	// held is what they hold, low the part of it held by those that do not
-	// come before the ask.
+// peerTotals sums the leases of the other nodes, in relation to one ask.
+type peerTotals struct {
+	// held is the number of slots held; low is the part of it held by nodes
+	// without priority over the ask.
 	held, low int
-	// urgent is what those that come before the ask wait for, missing what any
-	// of them wait for.
-	urgent, missing int
-	// ending is what they have to give back as their requests end.
+	// unmet is the unmet need of all other nodes; urgent is the part of it from
+	// nodes with priority over the ask.
+	urgent, unmet int
+	// ending is the number of slots held beyond those granted, which become free
+	// as requests end.
 	ending int
 }
 
-func (b *book) rest(now time.Time, node string, ask Ask) others {
-	var sum others
+func (b *book) sumPeers(now time.Time, node string, ask Ask) peerTotals {
+	var sum peerTotals
 	for name, l := range b.leases {
 		if name == node {
 			continue
 		}
 		sum.held += l.held()
-		sum.missing += l.missing(now)
+		sum.unmet += l.unmet(now)
 		sum.ending += l.held() - l.slots
 		if l.ask.before(ask) {
-			sum.urgent += l.missing(now)
+			sum.urgent += l.unmet(now)
 		} else {
 			sum.low += l.held()
 		}
@@ -158,5 +159,6 @@
 	return sum
 }
 
-// FairPart is a node's part of a limit where the owner cannot be asked.
+// FairPart returns a node's equal part of a limit, at least 1. It applies when
+// there is no grant from the owner.
 func FairPart(limit, nodes int) int { return max(limit/max(nodes, 1), 1) }
--- a/internal/credit/owner_test.go
+++ b/internal/credit/owner_test.go
@@ -12,8 +12,8 @@
 
 const replica = "tab-llm-1"
 
-// oldOwner returns an owner that has known the replica for long.
-func oldOwner() (*Owner, time.Time) {
+// establishedOwner returns an owner that has tracked the replica for an hour.
+func establishedOwner() (*Owner, time.Time) {
 	o := NewOwner(Settings{})
 	o.book(start, replica)
 	return o, start.Add(time.Hour)
@@ -43,19 +43,19 @@
 	tests := []struct {
 		title         string
 		first, second Ask
-		// slots of the first after the second has asked.
+		// want is the number of slots of first after second has asked.
 		want int
 	}{
 		{"higher tier first", waiting(ask(0, 8), 2, 0), waiting(ask(0, 8), 0, time.Minute), 1},
-		{"little difference of slack moves nothing", waiting(ask(0, 8), 1, 2*time.Second), waiting(ask(0, 8), 1, time.Second), 8},
+		{"slack difference below the margin moves nothing", waiting(ask(0, 8), 1, 2*time.Second), waiting(ask(0, 8), 1, time.Second), 8},
 		{"lower tier waits", waiting(ask(0, 8), 0, 0), waiting(ask(0, 8), 2, 0), 8},
 		{"least slack first within a tier", waiting(ask(0, 8), 1, time.Minute), waiting(ask(0, 8), 1, time.Second), 1},
-		{"prepaid goes to any who wait", prepaid(8), waiting(ask(0, 8), 7, time.Hour), 0},
-		{"what is needed alone is taken", prepaid(8), waiting(ask(0, 2), 0, 0), 6},
+		{"waiting node takes reserved slots", prepaid(8), waiting(ask(0, 8), 7, time.Hour), 0},
+		{"only needed slots are taken", prepaid(8), waiting(ask(0, 2), 0, 0), 6},
 	}
 	for _, test := range tests {
 		t.Run(test.title, func(t *testing.T) {
-			o, now := oldOwner()
+			o, now := establishedOwner()
 			grant(o, now, "first", test.first)
 			grant(o, now, "second", test.second)
 			wantSlots(t, "first", grant(o, now, "first", test.first), test.want)
@@ -66,7 +66,7 @@
 }
 
 func TestSlotsInUseAreNotGivenTwice(t *testing.T) {
-	o, now := oldOwner()
+	o, now := establishedOwner()
 	grant(o, now, "low", waiting(ask(0, 8), 3, 0))
 	wantSlots(t, "high while all runs", grant(o, now, "high", waiting(ask(0, 4), 0, 0)), 0)
 	grant(o, now, "low", waiting(ask(8, 8), 3, 0))
@@ -76,25 +76,25 @@
 }
 
 func TestCreditsExpire(t *testing.T) {
-	o, now := oldOwner()
+	o, now := establishedOwner()
 	grant(o, now, "gone", ask(8, 8))
 	wantSlots(t, "before the end", grant(o, now.Add(DefaultLeaseTime-1), "next", ask(0, 8)), 0)
 	wantSlots(t, "after the end", grant(o, now.Add(DefaultLeaseTime), "next", ask(0, 8)), 8)
 	o.Sweep(now.Add(time.Hour))
 	if len(o.replicas) != 0 {
-		t.Error("an unused replica is remembered")
+		t.Error("Sweep kept a replica without leases")
 	}
 }
 
 func TestReleasedCreditsAreFree(t *testing.T) {
-	o, now := oldOwner()
+	o, now := establishedOwner()
 	grant(o, now, "leaving", ask(8, 8))
 	o.Release("leaving")
 	wantSlots(t, "next", grant(o, now, "next", ask(0, 8)), 8)
 }
 
-// TestNewOwnerIsCareful: an owner that does not yet know who holds what gives
-// the fair part only, but leaves what is in use.
+// TestNewOwnerIsCareful checks that a new owner, which does not know the previous
+// owner's leases, grants only the fair part or the slots in use.
 func TestNewOwnerIsCareful(t *testing.T) {
 	o := NewOwner(Settings{})
 	wantSlots(t, "idle node", grant(o, start, "a", ask(0, 8)), 1)
@@ -102,17 +102,17 @@
 	wantSlots(t, "later", grant(o, start.Add(DefaultRenew), "a", ask(0, 8)), 4)
 }
 
-// TestLimitHolds: whatever nodes ask in whatever order, what they may have
-// running never goes beyond the limit while one owner is in place.
+// TestLimitHolds checks that the slots held never exceed the limit with a single
+// owner, for any sequence of asks.
 func TestLimitHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o, now := oldOwner()
+		o, now := establishedOwner()
 		limit := rapid.IntRange(1, 20).Draw(t, "limit")
 		granted := make(map[string]int)
 		used := make(map[string]int)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			node := fmt.Sprintf("n%d", rapid.IntRange(0, 5).Draw(t, "node"))
-			// Requests end at any time, and begin only within the grant.
+			// Requests may end at any time but start only within the grant.
 			top := max(granted[node], used[node])
 			used[node] = rapid.IntRange(0, top).Draw(t, "used")
 			if used[node] > granted[node] {
--- a/internal/credit/rpc.go
+++ b/internal/credit/rpc.go
@@ -6,7 +6,6 @@
 	creditv1 "galenatrestle/internal/gen/trestle/credit/v1"
 )
 
-// asksToWire returns asks as sent.
 func asksToWire(asks []Ask) []*creditv1.Ask {
 	wire := make([]*creditv1.Ask, len(asks))
 	for i, a := range asks {
--- a/internal/credit/settings.go
+++ b/internal/credit/settings.go
@@ -5,28 +5,27 @@
 	"time"
 )
 
-// Settings are the times and bounds of the exchange. Zero fields take the
-// defaults.
+// Settings configures the exchange. Zero fields take the defaults.
 type Settings struct {
-	// LeaseTime is how long a grant lasts.
+	// LeaseTime is how long a grant is valid.
 	LeaseTime time.Duration
-	// Renew is the time between two asks to one owner.
+	// Renew is the mean time between two regular messages to one owner.
 	Renew time.Duration
-	// Urgent is the shortest time between two asks, whichever their owners, that
-	// go out before their time because requests wait and no slot is left. With few
-	// owners it is half of that.
+	// Urgent is the minimum time between two early messages, to any owner. Early
+	// messages are sent when requests wait and no slot is free. With few owners
+	// the minimum is half of Urgent.
 	Urgent time.Duration
-	// LowShare is the part of a limit that nodes keep between them for requests
-	// less urgent than those of others, so that every class goes on.
+	// LowShare is the fraction of a limit that nodes with less urgent requests may
+	// use together while more urgent ones wait, so that no tier is starved.
 	LowShare float64
-	// Owners is the number of owners of one upstream's replicas with which one
-	// node works.
+	// Owners is the number of owners per upstream whose replicas one node uses.
 	Owners int
-	// Prepaid is the number of slots of each replica held beyond those in use.
+	// Prepaid is the number of slots of each replica that a node requests in
+	// reserve.
 	Prepaid int
 }
 
-// The defaults of Settings.
+// Defaults of Settings.
 const (
 	DefaultLeaseTime = 15 * time.Second
 	DefaultRenew     = 5 * time.Second
@@ -36,7 +35,8 @@
 	DefaultPrepaid   = 2
 )
 
-// maxReplicas bounds the replicas that one owner keeps books on.
+// maxReplicas is the maximum number of replicas tracked by one owner; nodes get
+// FairPart of any others.
 const maxReplicas = 4096
 
 func (s Settings) withDefaults() Settings {
--- a/internal/credit/subset.go
+++ b/internal/credit/subset.go
@@ -8,26 +8,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// subset is the choice of an upstream's replicas with which a node works.
+// subset is the set of an upstream's replicas that a node uses.
 type subset struct {
 	names map[string]bool
-	// of is the number of replicas from which it was chosen.
-	of int
-	// made and used are when it was last worked out and last asked for.
-	made, used time.Time
+	// total is the number of replicas of the upstream when it was computed.
+	total              int
+	computedAt, usedAt time.Time
 }
 
-// Subset returns the replicas of an upstream with which this node works: the
-// of the first owners by a hash of node and owner, so that the messages are
-// bounded and the nodes' choices spread evenly, and any others on which it still
-// runs something. With few nodes these are all.
+// Subset returns the replicas of an upstream that this node uses: those of the
+// Settings.Owners highest-ranked owners, and any others on which it still runs
+// requests. Ranking by a hash of node and owner bounds the number of messages and
+// spreads the nodes evenly over the owners.
 func (w *Wallet) Subset(now time.Time, need Need) []ReplicaNeed {
 	s, ok := w.subsets[need.Upstream]
-	if !ok || s.of != len(need.Replicas) || now.Sub(s.made) > w.settings.Renew {
+	if !ok || s.total != len(need.Replicas) || now.Sub(s.computedAt) > w.settings.Renew {
 		s = w.choose(now, need)
 		w.subsets[need.Upstream] = s
 	}
-	s.used = now
+	s.usedAt = now
 	var chosen []ReplicaNeed
 	for _, r := range need.Replicas {
 		if s.names[r.Name] || r.Running > 0 {
@@ -38,7 +37,7 @@
 }
 
 func (w *Wallet) choose(now time.Time, need Need) *subset {
-	ranked := owners(need.Replicas)
+	ranked := distinctOwners(need.Replicas)
 	slices.SortFunc(ranked, func(a, b string) int {
 		return cmp.Or(cmp.Compare(w.weight(b), w.weight(a)), cmp.Compare(a, b))
 	})
@@ -49,10 +48,10 @@
 			names[r.Name] = true
 		}
 	}
-	return &subset{names: names, of: len(need.Replicas), made: now}
+	return &subset{names: names, total: len(need.Replicas), computedAt: now}
 }
 
-// weight ranks the owners for this node.
+// weight is the rendezvous hash of this node and an owner.
 func (w *Wallet) weight(owner string) uint64 {
 	return xxhash.Sum64String(w.node + "\x00" + owner)
 }
--- a/internal/credit/wallet.go
+++ b/internal/credit/wallet.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// Need is what a node knows of one upstream when it looks at its credits.
+// Need is a node's current demand for one upstream.
 type Need struct {
 	Upstream string
-	// Waiting is the number of requests that wait in the most urgent tier, Rest
-	// that of the others. Tier and Slack are of the most urgent one.
+	// Waiting is the number of requests waiting in the most urgent tier, Rest the
+	// number in other tiers. Tier and Slack belong to the most urgent request.
 	Waiting int
 	Rest    int
 	Tier    int
 	Slack   time.Duration
-	// Replicas are those that may get work.
+	// Replicas are the replicas eligible for new requests.
 	Replicas []ReplicaNeed
 }
 
-// ReplicaNeed is one replica of an upstream as the node sees it.
+// ReplicaNeed is a node's view of one replica of an upstream.
 type ReplicaNeed struct {
 	Name string
-	// Owner is the name of the node that owns the replica.
+	// Owner is the name of the replica's owner node.
 	Owner string
 	Limit int
-	// Running is the number of this node's requests there.
+	// Running is the number of this node's requests running on the replica.
 	Running int
 }
 
-// Wallet holds one node's credits. It is pure and not safe for concurrent use.
+// Wallet keeps the credits of one node. It does no I/O and is not safe for
+// concurrent use.
 type Wallet struct {
 	node     string
 	settings Settings
@@ -38,23 +39,23 @@
 	credits  map[string]credit
 	owners   map[string]*ownerState
 	subsets  map[string]*subset
-	// lastUrgent is when an ask last went out before its time.
+	// lastUrgent is when the last early message was planned.
 	lastUrgent time.Time
 }
 
-// credit is what this node may use of one replica.
+// credit is a grant of slots of one replica.
 type credit struct {
 	slots   int
 	expires time.Time
 }
 
-// ownerState is what the wallet knows of its exchange with one owner.
+// ownerState has the message times of one owner.
 type ownerState struct {
-	// asked is when the last ask went out, next when the next one is due.
-	asked, next time.Time
+	// nextAsk is when the next regular message is due.
+	lastAsk, nextAsk time.Time
 }
 
-// NewWallet returns an empty wallet.
+// NewWallet returns a wallet without credits.
 func NewWallet(node string, settings Settings, rng *rand.Rand) *Wallet {
 	return &Wallet{
 		node:     node,
@@ -66,9 +67,8 @@
 	}
 }
 
-// Allowance returns the slots of a replica that this node may use: what the
-// owner granted, or the fair part of the limit where there is no grant in
-// force.
+// Allowance returns the number of slots of a replica that this node may use: the
+// owner's grant, or FairPart without a valid one.
 func (w *Wallet) Allowance(now time.Time, replica string, limit, nodes int) int {
 	c, ok := w.credits[replica]
 	if ok && now.Before(c.expires) {
@@ -77,8 +77,8 @@
 	return FairPart(limit, nodes)
 }
 
-// Plan returns the asks that are due, by owner. Each owner gets one message
-// with the asks of all its replicas; the times of different owners are spread.
+// Plan returns the asks that are due, by owner. Each owner gets one message with
+// the asks for all its replicas. Random jitter spreads the messages to owners.
 func (w *Wallet) Plan(now time.Time, needs []Need) map[string][]Ask {
 	asks := make(map[string][]Ask)
 	var short []string
@@ -87,8 +87,8 @@
 		for i, ask := range w.asks(need, replicas) {
 			asks[replicas[i].Owner] = append(asks[replicas[i].Owner], ask)
 		}
-		if w.short(now, need, replicas) {
-			short = append(short, owners(replicas)...)
+		if w.hasNoFreeSlot(now, need, replicas) {
+			short = append(short, distinctOwners(replicas)...)
 		}
 	}
 	due := make(map[string][]Ask)
@@ -97,14 +97,14 @@
 			due[owner] = asks[owner]
 		}
 	}
-	if owner := w.urgent(now, short, len(asks)); owner != "" {
+	if owner := w.chooseUrgentOwner(now, short, len(asks)); owner != "" {
 		due[owner] = w.asksOf(now, owner, needs)
 	}
 	return due
 }
 
-// asksOf returns the asks of one owner's replicas, with all that waits placed
-// on these.
+// asksOf returns the asks for one owner's replicas, with all waiting requests
+// distributed over these.
 func (w *Wallet) asksOf(now time.Time, owner string, needs []Need) []Ask {
 	var asks []Ask
 	for _, need := range needs {
@@ -119,7 +119,8 @@
 	return asks
 }
 
-// asks places what waits on the replicas, beginning at a random one.
+// asks distributes the waiting requests evenly over the replicas, beginning at a
+// random one.
 func (w *Wallet) asks(need Need, replicas []ReplicaNeed) []Ask {
 	if len(replicas) == 0 {
 		return nil
@@ -128,7 +129,7 @@
 	asks := make([]Ask, len(replicas))
 	for i, r := range replicas {
 		place := (i + offset) % len(replicas)
-		asks[i] = w.ask(need, r, share(need.Waiting, len(replicas), place), share(need.Rest, len(replicas), place))
+		asks[i] = w.ask(need, r, splitEvenly(need.Waiting, len(replicas), place), splitEvenly(need.Rest, len(replicas), place))
 	}
 	return asks
 }
@@ -147,8 +148,9 @@
 	}
 }
 
-// share is the part of the replica at a place of what is dealt out in turn.
-func share(waiting, replicas, place int) int {
+// splitEvenly returns the number of waiting requests assigned to the replica with
+// index place; the first replicas get the remainder.
+func splitEvenly(waiting, replicas, place int) int {
 	part := waiting / replicas
 	if place < waiting%replicas {
 		part++
@@ -156,8 +158,8 @@
 	return part
 }
 
-// owners returns the replicas' owners, each once, ordered.
-func owners(replicas []ReplicaNeed) []string {
+// distinctOwners returns the sorted names of the replicas' owners.
+func distinctOwners(replicas []ReplicaNeed) []string {
 	var names []string
 	for _, r := range replicas {
 		names = append(names, r.Owner)
@@ -166,11 +168,11 @@
 	return slices.Compact(names)
 }
 
-// Unbounded is the allowance of a node that has nobody to share with.
+// Unbounded is the allowance of the only serving node: no limit by credits.
 const Unbounded = -1
 
-// Allowances returns the slots of each replica of an upstream that this node
-// may use: none outside its subset, Unbounded where it is the only one.
+// Allowances returns the number of slots of each replica of an upstream that this
+// node may use: 0 outside its subset, Unbounded if it is the only node.
 func (w *Wallet) Allowances(now time.Time, need Need, nodes int) map[string]int {
 	allowances := make(map[string]int, len(need.Replicas))
 	if nodes <= 1 {
@@ -188,58 +190,60 @@
 	return allowances
 }
 
-// due reports whether it is time to ask an owner.
+// due reports whether a regular message to the owner is due, and if so schedules
+// the next one.
 func (w *Wallet) due(now time.Time, owner string) bool {
 	state, ok := w.owners[owner]
 	if !ok {
 		state = &ownerState{}
 		w.owners[owner] = state
 	}
-	if now.Before(state.next) {
+	if now.Before(state.nextAsk) {
 		return false
 	}
-	w.asked(now, state)
+	w.recordAsk(now, state)
 	return true
 }
 
-func (w *Wallet) asked(now time.Time, state *ownerState) {
+func (w *Wallet) recordAsk(now time.Time, state *ownerState) {
 	renew := w.settings.Renew
-	state.asked = now
-	state.next = now.Add(renew*9/10 + time.Duration(w.rng.Int64N(int64(renew/5))))
+	state.lastAsk = now
+	state.nextAsk = now.Add(renew*9/10 + time.Duration(w.rng.Int64N(int64(renew/5))))
 }
 
-// fewOwners is the number of owners up to which a node asks before its time
-// twice as often: its regular messages cost less then.
-const fewOwners = 16
+// maxFastAskOwners is the number of owners up to which early messages may be sent
+// twice as often, because there are fewer regular messages.
+const maxFastAskOwners = 16
 
-// urgentInterval is the shortest time between two asks before their time at a
-// node that works with the given number of owners.
+// urgentInterval returns the minimum time between two early messages of a node
+// that uses the given number of owners.
 func (w *Wallet) urgentInterval(owners int) time.Duration {
-	if owners <= fewOwners {
+	if owners <= maxFastAskOwners {
 		return w.settings.Urgent / 2
 	}
 	return w.settings.Urgent
 }
 
-// urgent returns the owner to ask before its time, or none: of the given ones
-// that was asked longest ago. all is the number of owners that the node asks.
-func (w *Wallet) urgent(now time.Time, owners []string, all int) string {
+// chooseUrgentOwner returns the least recently asked of the owners for an early
+// message and records the ask, or returns "" if none may be sent yet. all is the
+// number of owners that the node uses.
+func (w *Wallet) chooseUrgentOwner(now time.Time, owners []string, all int) string {
 	if len(owners) == 0 || now.Sub(w.lastUrgent) < w.urgentInterval(all) {
 		return ""
 	}
 	chosen := owners[0]
 	for _, owner := range owners {
-		if w.owners[owner].asked.Before(w.owners[chosen].asked) {
+		if w.owners[owner].lastAsk.Before(w.owners[chosen].lastAsk) {
 			chosen = owner
 		}
 	}
 	w.lastUrgent = now
-	w.asked(now, w.owners[chosen])
+	w.recordAsk(now, w.owners[chosen])
 	return chosen
 }
 
-// short reports whether requests wait and no slot of the replicas is free.
-func (w *Wallet) short(now time.Time, need Need, replicas []ReplicaNeed) bool {
+// hasNoFreeSlot reports whether requests wait and no slot of the replicas is free.
+func (w *Wallet) hasNoFreeSlot(now time.Time, need Need, replicas []ReplicaNeed) bool {
 	if need.Waiting == 0 {
 		return false
 	}
@@ -252,14 +256,14 @@
 	return true
 }
 
-// Apply takes in an owner's grants.
+// Apply records an owner's grants.
 func (w *Wallet) Apply(now time.Time, grants []Grant) {
 	for _, g := range grants {
 		w.credits[g.Replica] = credit{slots: g.Slots, expires: now.Add(g.For)}
 	}
 }
 
-// Sweep forgets credits that have expired and owners not asked for long.
+// Sweep removes expired credits, unused subsets and owners not asked recently.
 func (w *Wallet) Sweep(now time.Time) {
 	for replica, c := range w.credits {
 		if !now.Before(c.expires) {
@@ -267,12 +271,12 @@
 		}
 	}
 	for upstream, s := range w.subsets {
-		if now.Sub(s.used) > w.settings.LeaseTime {
+		if now.Sub(s.usedAt) > w.settings.LeaseTime {
 			delete(w.subsets, upstream)
 		}
 	}
 	for owner, state := range w.owners {
-		if now.Sub(state.asked) > 2*w.settings.LeaseTime {
+		if now.Sub(state.lastAsk) > 2*w.settings.LeaseTime {
 			delete(w.owners, owner)
 		}
 	}
--- a/internal/credit/wallet_test.go
+++ b/internal/credit/wallet_test.go
@@ -11,10 +11,10 @@
 	return NewWallet("vm-0", settings, rand.New(rand.NewPCG(1, 2)))
 }
 
-// needOf returns a need of n replicas that are owned in turn by three nodes.
+// needOf returns a need with n replicas, owned round robin by three nodes.
 func needOf(n, waiting int) Need { return needOfOwners(n, 3, waiting) }
 
-// needOfOwners does so for a number of nodes.
+// needOfOwners is like needOf with the given number of owners.
 func needOfOwners(n, owners, waiting int) Need {
 	need := Need{Upstream: "u", Waiting: waiting}
 	for i := range n {
@@ -25,7 +25,7 @@
 	return need
 }
 
-func TestWithoutOwnerTheFairPartCounts(t *testing.T) {
+func TestAllowanceFallsBackToFairPart(t *testing.T) {
 	w := newTestWallet(Settings{})
 	if got := w.Allowance(start, "r0", 24, 8); got != 3 {
 		t.Errorf("before any grant: %d slots, want 3", got)
@@ -38,11 +38,11 @@
 		t.Errorf("after the grant: %d slots, want 3", got)
 	}
 	if got := w.Allowance(start, "r1", 4, 60); got != 1 {
-		t.Errorf("small part: %d slots, want 1", got)
+		t.Errorf("limit below the number of nodes: %d slots, want 1", got)
 	}
 }
 
-func TestOneMessageAnOwnerAtItsTime(t *testing.T) {
+func TestOneMessagePerOwnerAndInterval(t *testing.T) {
 	w := newTestWallet(Settings{})
 	needs := []Need{needOf(9, 0)}
 	asks := w.Plan(start, needs)
@@ -59,13 +59,13 @@
 	}
 }
 
-func TestUrgentAsksAreBoundedAndTakeTurns(t *testing.T) {
+func TestUrgentAsksAreBoundedAndRoundRobin(t *testing.T) {
 	for _, test := range []struct {
 		owners   int
 		interval time.Duration
 	}{
 		{3, DefaultUrgent / 2},
-		{fewOwners + 1, DefaultUrgent},
+		{maxFastAskOwners + 1, DefaultUrgent},
 	} {
 		t.Run(fmt.Sprintf("%d owners", test.owners), func(t *testing.T) {
 			urgentAsks(t, test.owners, test.interval)
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestAloneNothingIsShared(t *testing.T) {
+func TestSingleNodeIsUnbounded(t *testing.T) {
 	w := newTestWallet(Settings{})
 	need := needOf(2, 3)
 	for replica, slots := range w.Allowances(start, need, 1) {
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestFreeSlotMakesNoUrgentAsk(t *testing.T) {
+func TestNoUrgentAskWithFreeSlot(t *testing.T) {
 	w := newTestWallet(Settings{Renew: time.Hour, LeaseTime: 3 * time.Hour})
 	needs := []Need{needOf(9, 5)}
 	w.Plan(start, needs)
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestSubsetIsStableAndKeepsWhatRuns(t *testing.T) {
+func TestSubsetIsStableAndKeepsReplicasInUse(t *testing.T) {
 	w := newTestWallet(Settings{Owners: 1})
 	need := needOf(30, 0)
 	first := w.Subset(start, need)
@@ -144,7 +144,7 @@
 		owners[r.Owner] = true
 	}
 	if len(owners) != 1 {
-		t.Errorf("they have %d owners", len(owners))
+		t.Errorf("the chosen replicas have %d owners, want 1", len(owners))
 	}
 	chosen := make(map[string]bool)
 	for _, r := range first {
