--- a/internal/usage/peers.go
+++ b/internal/usage/peers.go
@@ -64,8 +64,8 @@
 
 // Gather returns what this node and those that answer counted from the window on, and how
 // many did not answer. They are asked again the next time.
-func (g *Gatherer) Gather(ctx context.Context, first int64) (told []Told, silent int) {
-	told = []Told{{Source: g.own.source, Windows: g.own.meter.Since(first)}}
+func (g *Gatherer) Gather(ctx context.Context, first int64) (told []SourceCounts, silent int) {
+	told = []SourceCounts{{Source: g.own.source, Windows: g.own.meter.Since(first)}}
 	var mu sync.Mutex
 	var asking sync.WaitGroup
 	places := make(chan struct{}, askAtOnce)
@@ -88,15 +88,15 @@
 	return told, silent
 }
 
-func (g *Gatherer) ask(ctx context.Context, address string, first int64) (Told, error) {
+func (g *Gatherer) ask(ctx context.Context, address string, first int64) (SourceCounts, error) {
 	limited, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	client := usagev1connect.NewUsageServiceClient(g.clients.HTTPClient(address), g.clients.URL(address))
 	response, err := client.Counts(limited, connect.NewRequest(&usagev1.CountsRequest{FromWindow: first}))
 	if err != nil {
-		return Told{}, err
+		return SourceCounts{}, err
 	}
-	told := Told{Source: response.Msg.GetSource(), Windows: make(map[int64]Counts)}
+	told := SourceCounts{Source: response.Msg.GetSource(), Windows: make(map[int64]Counts)}
 	for _, window := range response.Msg.GetWindows() {
 		counts := make(Counts, len(window.GetWorkspaces()))
 		for _, w := range window.GetWorkspaces() {
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -37,8 +37,8 @@
 	keepDelays = 4
 )
 
-// Told is what one source counted.
-type Told struct {
+// SourceCounts is what one source counted.
+type SourceCounts struct {
 	Source  string
 	Windows map[int64]Counts
 }
@@ -49,7 +49,7 @@
 	Platform Platform
 	// Gather asks all nodes for their counts from the window on, and tells how many did
 	// not answer.
-	Gather func(ctx context.Context, first int64) (told []Told, silent int)
+	Gather func(ctx context.Context, first int64) (told []SourceCounts, silent int)
 	// Length is that of a window, Delay the time after its end within which the
 	// platform wants its report.
 	Length, Delay time.Duration
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -62,7 +62,7 @@
 func (f *fleet) clock() boottime.Instant { return boottime.Instant(time.Since(f.began)) + 1 }
 
 // gather asks all nodes but those that are dead.
-func (f *fleet) gather(_ context.Context, first int64) (told []usage.Told, silent int) {
+func (f *fleet) gather(_ context.Context, first int64) (told []usage.SourceCounts, silent int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, m := range f.meters {
@@ -70,7 +70,7 @@
 			silent++
 			continue
 		}
-		told = append(told, usage.Told{Source: name, Windows: m.Since(first)})
+		told = append(told, usage.SourceCounts{Source: name, Windows: m.Since(first)})
 	}
 	return told, silent
 }
