--- a/internal/usage/book.go
+++ b/internal/usage/book.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Book is what is known of the windows that are not reported yet, as it is written to the
-// store. It decides what is fixed when; it is for one goroutine.
+// Book is the stored state of all windows that are not reported yet. It is not safe for
+// concurrent use.
 type Book struct {
-	// Length is that of a window.
+	// Length is the length of a window.
 	Length time.Duration `json:"length"`
-	// Next is the first window whose sums are not fixed.
+	// Next is the first window whose sums are not final.
 	Next int64 `json:"next"`
 	// Open are the counts of the windows from Next on, by window and source.
 	Open map[int64]map[string]Counts `json:"open,omitempty"`
-	// Fixed are the sums that are to be sent as they stand, by window.
+	// Fixed are the final sums of windows to report, by window.
 	Fixed map[int64]Counts `json:"fixed,omitempty"`
 }
 
-// NewBook begins with the window of now.
+// NewBook returns an empty book that begins with the window of now.
 func NewBook(length time.Duration, now time.Time) *Book {
 	b := &Book{Length: length, Next: Window(now, length)}
-	b.fill()
+	b.initMaps()
 	return b
 }
 
-// fill makes the maps that a record left out.
-func (b *Book) fill() {
+// initMaps creates the maps that are missing in a stored record.
+func (b *Book) initMaps() {
 	if b.Open == nil {
 		b.Open = make(map[int64]map[string]Counts)
 	}
@@ -36,9 +36,9 @@
 	}
 }
 
-// Merge takes in what a source counted. Counts of one source only grow, so that the
-// higher one is the newer. Windows whose sums are fixed are left as they are; it returns
-// how many requests came too late for theirs.
+// Merge adds the counts of a source. Counts of one source never decrease, so the higher
+// count is the newer one. It ignores windows whose sums are fixed and returns the number
+// of requests counted in them.
 func (b *Book) Merge(source string, windows map[int64]Counts) (late int64) {
 	for window, counts := range windows {
 		if window < b.Next {
@@ -50,17 +50,17 @@
 			sources = make(map[string]Counts)
 			b.Open[window] = sources
 		}
-		sources[source] = highest(sources[source], counts)
+		sources[source] = maxCounts(sources[source], counts)
 	}
 	return late
 }
 
-// highest takes the higher of both counts for each workspace.
-func highest(known, told Counts) Counts {
+// maxCounts updates known to the higher of both counts for each workspace.
+func maxCounts(known, received Counts) Counts {
 	if known == nil {
-		return maps.Clone(told)
+		return maps.Clone(received)
 	}
-	for workspace, n := range told {
+	for workspace, n := range received {
 		known[workspace] = max(known[workspace], n)
 	}
 	return known
@@ -74,9 +74,9 @@
 	return sum
 }
 
-// Fix fixes the sums of the windows that ended before the time, and reports whether there
-// were any. Windows in which nothing was counted are fixed too: the platform waits for
-// a report of each.
+// Fix finalizes the sums of all windows that ended by endedBefore, and reports whether
+// there were any. This includes windows without requests, since the platform expects a
+// report for each window.
 func (b *Book) Fix(endedBefore time.Time) bool {
 	fixed := false
 	for ; !End(b.Next, b.Length).After(endedBefore); b.Next++ {
@@ -93,8 +93,8 @@
 	return fixed
 }
 
-// Skip leaves out windows that nobody would take any more, after a long outage, and
-// returns how many.
+// Skip drops the open windows that ended by endedBefore, which are too old to report
+// after a long outage, and returns how many.
 func (b *Book) Skip(endedBefore time.Time) int64 {
 	first := Window(endedBefore, b.Length)
 	skipped := max(first-b.Next, 0)
@@ -103,7 +103,7 @@
 	return skipped
 }
 
-// ToSend are the reports that the platform has not taken yet, the oldest first.
+// ToSend returns the reports that the platform has not accepted yet, oldest first.
 func (b *Book) ToSend() []Report {
 	var list []Report
 	for _, window := range slices.Sorted(maps.Keys(b.Fixed)) {
@@ -112,5 +112,5 @@
 	return list
 }
 
-// Sent notes that the platform has taken the window's report.
+// Sent removes the window's report after the platform has accepted it.
 func (b *Book) Sent(window int64) { delete(b.Fixed, window) }
--- a/internal/usage/doc.go
+++ b/internal/usage/doc.go
@@ -1,12 +1,12 @@
-// Package usage counts the requests of each workspace that begin to run, by windows of
-// the fleet's time, and tells the platform the sums of all nodes once for each window.
+// Package usage counts the requests of each workspace that begin to run, in windows of
+// fleet time, and reports the sums over all nodes to the platform once per window.
 //
-// A node's counts only grow and are named after the run of its process, so that taking
-// them in twice changes nothing. The node that holds the duty gathers them, writes them to
-// the platform's store every few seconds, and fixes a window's sums there before it sends
-// them: every later holder sends exactly the same.
+// A node's counts never decrease and are identified by the run of its process, so merging
+// them is idempotent. The node that holds the duty gathers the counts, writes them to the
+// platform's store every few seconds, and stores a window's final sums before it reports
+// them, so that a later holder sends the same report.
 //
-// Counts are soft state until they are written; what a node loses with its power within a
-// second or two is missing from the sums. In an outage of the store nothing is fixed;
-// nodes keep their counts for several windows.
+// Counts are in memory until they are written: a node crash loses the last second or two.
+// While the store is unavailable no window is finalized; nodes keep their counts for
+// several windows.
 package usage
--- a/internal/usage/events.go
+++ b/internal/usage/events.go
@@ -6,7 +6,7 @@
 	"galenatrestle/internal/eventlog"
 )
 
-// reported tells what the platform said to a report.
+// reported is the event of one report sent to the platform, with its result.
 type reported struct {
 	report Report
 	fence  int64
@@ -32,7 +32,7 @@
 	return fields
 }
 
-// countsLate tells of requests whose window was fixed without them.
+// countsLate is the event of requests counted after their window's sums were fixed.
 type countsLate struct {
 	source   string
 	requests int64
@@ -50,7 +50,7 @@
 	return eventlog.Fields{"source": e.source, "requests": e.requests, "next_window": e.next}
 }
 
-// windowsSkipped tells of windows that nobody reports any more.
+// windowsSkipped is the event of windows that are too old to report.
 type windowsSkipped struct{ windows int64 }
 
 // Name implements eventlog.Event.
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// keepWindows is how many windows a node keeps its counts: longer than the platform's
-// store is usually away.
+// keepWindows is the number of windows for which a node keeps its counts, to outlast a
+// typical outage of the platform's store.
 const keepWindows = 12
 
-// Counts are requests by workspace.
+// Counts is the number of requests by workspace.
 type Counts map[string]int64
 
-// Meter counts at one node. It is safe for concurrent use.
+// Meter counts the requests that begin at one node. It is safe for concurrent use.
 type Meter struct {
 	length time.Duration
 	now    func() time.Time
@@ -22,20 +22,22 @@
 	windows map[int64]Counts
 }
 
-// NewMeter returns a meter of windows of the length, by the fleet's time.
+// NewMeter returns a meter with windows of the given length; now returns fleet time.
 func NewMeter(length time.Duration, now func() time.Time) *Meter {
 	return &Meter{length: length, now: now, windows: make(map[int64]Counts)}
 }
 
-// Window is the number of the window of the time; window 0 begins with the year 1970.
+// Window returns the number of the window that contains at; window 0 begins at the Unix
+// epoch.
 func Window(at time.Time, length time.Duration) int64 { return at.UnixNano() / int64(length) }
 
-// End is when the window ends.
+// End returns the end of the window.
 func End(window int64, length time.Duration) time.Time {
 	return time.Unix(0, (window+1)*int64(length))
 }
 
-// Began counts a request of the workspace that began to run now.
+// Began counts a request of the workspace in the current window. It ignores an empty
+// workspace.
 func (m *Meter) Began(workspace string) {
 	if workspace == "" {
 		return
@@ -47,13 +49,13 @@
 	if !ok {
 		counts = make(Counts)
 		m.windows[window] = counts
-		m.forget(window - keepWindows)
+		m.deleteThrough(window - keepWindows)
 	}
 	counts[workspace]++
 }
 
-// forget drops the windows up to the last one. The lock is held.
-func (m *Meter) forget(last int64) {
+// deleteThrough deletes all windows up to and including last. The caller must hold mu.
+func (m *Meter) deleteThrough(last int64) {
 	for window := range m.windows {
 		if window <= last {
 			delete(m.windows, window)
@@ -61,7 +63,7 @@
 	}
 }
 
-// Since is what was counted in the windows from the first one on.
+// Since returns a copy of the counts of all windows from first on.
 func (m *Meter) Since(first int64) map[int64]Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/usage/metrics.go
+++ b/internal/usage/metrics.go
@@ -2,13 +2,13 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics tell of the reports that this node sent.
+// Metrics counts reports and late requests.
 type Metrics struct {
 	reports *prometheus.CounterVec
 	late    prometheus.Counter
 }
 
-// NewMetrics registers them.
+// NewMetrics returns metrics registered with register.
 func NewMetrics(register prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		reports: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/usage/peers.go
+++ b/internal/usage/peers.go
@@ -13,14 +13,14 @@
 	"galenatrestle/internal/peer"
 )
 
-// Service gives this node's counts to the one that reports them.
+// Service serves this node's counts to the node that reports them.
 type Service struct {
-	// source names this run of the process.
+	// source identifies this run of the process.
 	source string
 	meter  *Meter
 }
 
-// NewService returns the service of the meter.
+// NewService returns a service for the counts of meter.
 func NewService(source string, meter *Meter) *Service { return &Service{source: source, meter: meter} }
 
 // Handler returns the path and the handler to mount on the peer listener.
@@ -42,18 +42,18 @@
 }
 
 const (
-	// askTimeout bounds asking one node.
+	// askTimeout is the timeout of a call to one node.
 	askTimeout = 500 * time.Millisecond
-	// askAtOnce bounds the nodes that are asked at a time, so that the holder goes on
-	// serving meanwhile.
-	askAtOnce = 8
+	// maxConcurrentCalls limits concurrent calls, to leave the holder capacity for
+	// requests.
+	maxConcurrentCalls = 8
 )
 
-// Gatherer asks all nodes for their counts.
+// Gatherer fetches the counts of all nodes.
 type Gatherer struct {
 	own     *Service
 	clients *peer.Clients
-	// addresses are the other nodes' peer addresses.
+	// addresses returns the peer addresses of the other nodes.
 	addresses func() []string
 }
 
@@ -62,13 +62,13 @@
 	return &Gatherer{own: own, clients: clients, addresses: addresses}
 }
 
-// Gather returns what this node and those that answer counted from the window on, and how
-// many did not answer. They are asked again the next time.
+// Gather returns the counts of this node and of each node that responds, for windows from
+// first on, and the number of nodes that did not respond.
 func (g *Gatherer) Gather(ctx context.Context, first int64) (told []SourceCounts, silent int) {
 	told = []SourceCounts{{Source: g.own.source, Windows: g.own.meter.Since(first)}}
 	var mu sync.Mutex
 	var asking sync.WaitGroup
-	places := make(chan struct{}, askAtOnce)
+	places := make(chan struct{}, maxConcurrentCalls)
 	for _, address := range g.addresses() {
 		places <- struct{}{}
 		asking.Go(func() {
@@ -77,7 +77,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				// That a node does not answer the exchange between nodes logs.
+				// Not logged here; the exchange between nodes logs unresponsive nodes.
 				silent++
 				return
 			}
--- a/internal/usage/report.go
+++ b/internal/usage/report.go
@@ -6,14 +6,14 @@
 	"galenatrestle/internal/duty"
 )
 
-// Report is what the platform is told of one window.
+// Report is the usage of all nodes in one window.
 type Report struct {
 	Window   int64
 	Requests Counts
 }
 
-// Platform takes reports. An error that wraps platform.ErrConflict says that a later
-// holder has reported; after platform.ErrUnavailable the report may have been taken.
+// Platform accepts reports. An error that wraps platform.ErrConflict means that a later
+// holder has sent reports. After platform.ErrUnavailable the report may have been accepted.
 type Platform interface {
 	Report(ctx context.Context, term duty.Term, r Report) error
 }
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -15,52 +15,53 @@
 )
 
 const (
-	// bookKey is the store's key of the book.
+	// bookKey is the key of the book in the store.
 	bookKey = "trestle/duties/usage"
-	// lookEvery is how often the holder looks at what is due.
-	lookEvery = 250 * time.Millisecond
-	// gatherEvery is the time between two rounds of asking the nodes for their counts: a
-	// node that loses power takes no older ones with it.
-	gatherEvery = time.Second
-	// saveEvery bounds the counts that are lost with the holder and a node at once.
-	saveEvery = 2 * time.Second
-	// settleFor is how long after a window's end its counts are waited for: a round of
-	// asking begins after the slowest clock has left the window.
-	settleFor = 1500 * time.Millisecond
-	// waitPart is the part of the platform's delay for which the counts of nodes that do
-	// not answer are waited for.
-	waitPart = 0.6
-	// callTimeout bounds one call of the store.
+	// stepInterval is the time between two steps of the holder.
+	stepInterval = 250 * time.Millisecond
+	// gatherInterval is the time between two rounds of fetching counts from the nodes. A
+	// node crash loses the counts since the last round.
+	gatherInterval = time.Second
+	// saveInterval is the time between two writes. It bounds the counts lost if the holder
+	// and another node crash together.
+	saveInterval = 2 * time.Second
+	// settleTime is the time between a window's end and the round that completes it, to
+	// allow for clock skew between nodes.
+	settleTime = 1500 * time.Millisecond
+	// maxWaitFraction is the fraction of the platform's delay to wait for the counts of
+	// nodes that do not respond.
+	maxWaitFraction = 0.6
+	// callTimeout is the timeout of one call to the store.
 	callTimeout = 900 * time.Millisecond
-	// keepDelays is for how many of the platform's delays an unsent window is kept beyond
-	// the nodes' own counts.
+	// keepDelays is how long an open window is kept after the nodes drop their counts, as a
+	// multiple of the platform's delay.
 	keepDelays = 4
 )
 
-// SourceCounts is what one source counted.
+// SourceCounts has the counts of one source, a run of a node's process, by window.
 type SourceCounts struct {
 	Source  string
 	Windows map[int64]Counts
 }
 
-// ReporterOptions are what a Reporter works with.
+// ReporterOptions configures a Reporter.
 type ReporterOptions struct {
 	Store    duty.Store
 	Platform Platform
-	// Gather asks all nodes for their counts from the window on, and tells how many did
-	// not answer.
+	// Gather returns the counts of all nodes that respond, for windows from first on, and
+	// the number of nodes that did not respond.
 	Gather func(ctx context.Context, first int64) (told []SourceCounts, silent int)
-	// Length is that of a window, Delay the time after its end within which the
-	// platform wants its report.
+	// Length is the length of a window; Delay is the time after its end within which the
+	// platform expects its report.
 	Length, Delay time.Duration
-	// Now is the fleet's time.
+	// Now returns fleet time.
 	Now     func() time.Time
 	Clock   boottime.Clock
 	Log     *eventlog.Log
 	Metrics *Metrics
 }
 
-// Reporter is the duty of reporting usage. It implements duty.Work.
+// Reporter reports usage while this node holds the duty. It implements duty.Work.
 type Reporter struct{ options ReporterOptions }
 
 // NewReporter returns a reporter.
@@ -70,41 +71,41 @@
 func (r *Reporter) Run(ctx context.Context, term duty.Term) {
 	s := &session{options: r.options, term: term}
 	for ctx.Err() == nil && !s.fenced {
-		s.look(ctx)
-		if ctxtime.Sleep(ctx, lookEvery) != nil {
+		s.step(ctx)
+		if ctxtime.Sleep(ctx, stepInterval) != nil {
 			return
 		}
 	}
 }
 
-// session is the work of one term. It is for one goroutine.
+// session is the state of one term. It is not safe for concurrent use.
 type session struct {
 	options ReporterOptions
 	term    duty.Term
 	book    *Book
-	// revision is that of the book's key; zero: it is not in the store.
+	// revision is the revision of the book's key, 0 if it is not in the store.
 	revision int64
-	// gatheredAt and savedAt are the starts of the last rounds; windows that ended before
-	// complete have all their counts, or as many as there will be.
+	// gatheredAt and savedAt are when the last gather and save began. Windows that ended
+	// before completeBefore wait for no more counts.
 	gatheredAt, savedAt boottime.Instant
-	complete            time.Time
+	completeBefore      time.Time
 	changed             bool
-	// fenced: a later holder was seen, and this one sends nothing more.
+	// fenced is set after the platform rejected a report because of a later holder.
 	fenced bool
 }
 
-// look does what is due.
-func (s *session) look(ctx context.Context) {
+// step gathers, finalizes, writes and sends whatever is due.
+func (s *session) step(ctx context.Context) {
 	if s.book == nil && !s.load(ctx) {
 		return
 	}
 	now := s.options.Clock()
-	if s.gatheredAt == 0 || now.Sub(s.gatheredAt) >= gatherEvery {
+	if s.gatheredAt == 0 || now.Sub(s.gatheredAt) >= gatherInterval {
 		s.gatheredAt = now
 		s.gather(ctx)
 	}
-	fixed := s.book.Fix(s.complete)
-	if fixed || s.changed && now.Sub(s.savedAt) >= saveEvery {
+	fixed := s.book.Fix(s.completeBefore)
+	if fixed || s.changed && now.Sub(s.savedAt) >= saveInterval {
 		s.savedAt = now
 		if !s.save(ctx) {
 			return
@@ -113,7 +114,7 @@
 	s.send(ctx)
 }
 
-// load reads the book that the last holder left; it reports whether there is one now.
+// load reads the book from the store, or creates one, and reports whether it succeeded.
 func (s *session) load(ctx context.Context) bool {
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -123,12 +124,12 @@
 		return true
 	}
 	if err != nil {
-		s.failed("read usage", err)
+		s.logError("read usage", err)
 		return false
 	}
 	book, err := decodeBook(entry.Value)
 	if err != nil || book.Length != s.options.Length {
-		// Another window length, or what nobody can read: nothing of it can be reported.
+		// A book with another window length or an invalid record can't be reported.
 		s.options.Log.Error("decode usage", fmt.Errorf("book of revision %d is replaced: %w", entry.Revision, err))
 		book = NewBook(s.options.Length, s.options.Now())
 	}
@@ -145,21 +146,21 @@
 	if err := json.Unmarshal(value, book); err != nil {
 		return nil, fmt.Errorf("usage of %d bytes: %w", len(value), err)
 	}
-	book.fill()
+	book.initMaps()
 	return book, nil
 }
 
-// gather takes in what the nodes counted.
+// gather fetches the nodes' counts and merges them into the book.
 func (s *session) gather(ctx context.Context) {
 	began := s.options.Now()
 	told, silent := s.options.Gather(ctx, s.book.Next)
 	if ctx.Err() != nil {
 		return
 	}
-	s.complete = began.Add(-settleFor)
+	s.completeBefore = began.Add(-settleTime)
 	if silent > 0 {
-		// One that is cut off may come back with its counts in time.
-		s.complete = began.Add(-max(settleFor, time.Duration(waitPart*float64(s.options.Delay))))
+		// An unreachable node may become reachable again before the report is due.
+		s.completeBefore = began.Add(-max(settleTime, time.Duration(maxWaitFraction*float64(s.options.Delay))))
 	}
 	for _, t := range told {
 		if late := s.book.Merge(t.Source, t.Windows); late > 0 {
@@ -170,13 +171,13 @@
 	s.changed = true
 }
 
-// save writes the book, unless another node holds the duty or has written. What is
-// fixed is sent only after its writing was answered; where that is not known, the book
-// is read again.
+// save writes the book, on condition that this node still holds the duty and nobody else
+// has written the book. Fixed sums are sent only after a confirmed write; after an error
+// the book is loaded again.
 func (s *session) save(ctx context.Context) bool {
 	value, err := json.Marshal(s.book)
 	if err != nil {
-		s.failed("encode usage", err)
+		s.logError("encode usage", err)
 		return false
 	}
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
@@ -187,14 +188,14 @@
 	})
 	if err != nil {
 		s.book = nil
-		s.failed("write usage", err)
+		s.logError("write usage", err)
 		return false
 	}
 	s.revision, s.changed = revision, false
 	return true
 }
 
-// send sends the reports that are fixed, until one is not taken.
+// send sends the fixed reports, oldest first, until one fails.
 func (s *session) send(ctx context.Context) {
 	for _, report := range s.book.ToSend() {
 		if !s.term.Held() {
@@ -216,6 +217,6 @@
 	}
 }
 
-func (s *session) failed(step string, err error) {
+func (s *session) logError(step string, err error) {
 	s.options.Log.Error(step, err)
 }
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	length = 5 * time.Second
-	delay  = 10 * time.Second
-	ttl    = 3 * time.Second
-	perS   = 20
+	length            = 5 * time.Second
+	delay             = 10 * time.Second
+	ttl               = 3 * time.Second
+	requestsPerSecond = 20
 )
 
-// cloud has the judge take the reports.
+// cloud is a platform that passes reports to the judge.
 type cloud struct{ judge *dutytest.Judge }
 
 func (c cloud) Report(_ context.Context, term duty.Term, r usage.Report) error {
 	return c.judge.Report(term, r.Window, r.Requests)
 }
 
-// fleet is nodes that count and try for the duty, inside a synctest bubble.
+// fleet simulates nodes that count requests and contend for the duty, in a synctest bubble.
 type fleet struct {
 	t     *testing.T
 	store *dutytest.Store
@@ -61,7 +61,7 @@
 
 func (f *fleet) clock() boottime.Instant { return boottime.Instant(time.Since(f.began)) + 1 }
 
-// gather asks all nodes but those that are dead.
+// gather returns the counts of all nodes except dead ones.
 func (f *fleet) gather(_ context.Context, first int64) (told []usage.SourceCounts, silent int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,7 +75,7 @@
 	return told, silent
 }
 
-// start begins a run of a node, which knows nothing of the one before.
+// start starts a new process of a node, without state of an earlier one.
 func (f *fleet) start(name string) {
 	f.runs++
 	process := fmt.Sprint(name, "/", f.runs)
@@ -112,9 +112,9 @@
 	}
 }
 
-// count has a request begin again and again.
+// count begins requests at a fixed rate.
 func (f *fleet) count(ctx context.Context, meter *usage.Meter) {
-	for ctxtime.Sleep(ctx, time.Second/perS) == nil {
+	for ctxtime.Sleep(ctx, time.Second/requestsPerSecond) == nil {
 		meter.Began("shop")
 	}
 }
@@ -131,7 +131,7 @@
 	}
 }
 
-// overdue are the windows since the start that are not reported though it is time.
+// overdue returns the windows since the start whose report is overdue.
 func (f *fleet) overdue() []int64 {
 	reports := f.judge.Reports()
 	var missing []int64
@@ -143,17 +143,17 @@
 	return missing
 }
 
-func TestEachWindowIsReportedInTimeAndRight(t *testing.T) {
+func TestReportsAreTimelyAndCorrect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, "a", "b", "c")
 		time.Sleep(62 * time.Second)
 		if missing := f.overdue(); len(missing) > 0 {
 			t.Errorf("windows %v are overdue", missing)
 		}
-		want := int64(3 * perS * length / time.Second)
+		want := int64(3 * requestsPerSecond * length / time.Second)
 		for window, counts := range f.judge.Reports() {
-			// The first window began before the fleet; a request at its edge may fall
-			// on either side.
+			// The first window began before the fleet. A request at a window's edge may
+			// be counted in either window.
 			if off := counts["shop"] - want; window > usage.Window(f.began, length) && (off < -3 || off > 3) {
 				t.Errorf("window %d: %d requests, want %d", window, counts["shop"], want)
 			}
@@ -162,9 +162,8 @@
 	})
 }
 
-// TestAnOutageOfTheStoreCostsNoWindow is an outage that is shorter than the platform's
-// delay.
-func TestAnOutageOfTheStoreCostsNoWindow(t *testing.T) {
+// TestStoreOutageDelaysNoReport has an outage that is shorter than the platform's delay.
+func TestStoreOutageDelaysNoReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, "a", "b")
 		time.Sleep(12 * time.Second)
@@ -181,9 +180,9 @@
 	})
 }
 
-// TestAllNodesKilledCostsTheLastSeconds kills every process in the middle of a window: what
-// was counted until a few seconds before is reported by the next run, in time.
-func TestAllNodesKilledCostsTheLastSeconds(t *testing.T) {
+// TestCrashOfAllNodesLosesOnlyLastSeconds kills all processes in the middle of a window. The
+// new processes must report the counts up to a few seconds before the crash, in time.
+func TestCrashOfAllNodesLosesOnlyLastSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, "a", "b", "c")
 		time.Sleep(length - time.Since(f.began)%length + 3*length + 4*time.Second)
@@ -200,16 +199,16 @@
 			t.Errorf("windows %v are overdue", missing)
 		}
 		counted := f.judge.Reports()[window]["shop"]
-		if least := int64(3 * perS); counted < least {
-			t.Errorf("%d requests are reported of the window with the kill, want %d at least", counted, least)
+		if least := int64(3 * requestsPerSecond); counted < least {
+			t.Errorf("%d requests reported for the window of the crash, want at least %d", counted, least)
 		}
 		f.finish()
 	})
 }
 
-// TestNoWindowIsReportedTwiceInDifferentWays plays faults of the store, late calls and
-// changes of the holder in random turns.
-func TestNoWindowIsReportedTwiceInDifferentWays(t *testing.T) {
+// TestReportsOfAWindowAreIdentical checks that repeated reports of a window have the same sums
+// under random store faults, late calls and changes of the holder.
+func TestReportsOfAWindowAreIdentical(t *testing.T) {
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) { playFaults(t, seed) })
 		if t.Failed() {
