--- a/internal/credit/ask.go
+++ b/internal/credit/ask.go
@@ -17,7 +17,8 @@
 	// requests or as a reserve.
 	Extra int
 	// Waiting reports whether requests for the upstream are queued at the node,
-	// for any of its replicas. The node then has priority over less urgent ones.
+	// for any of its replicas. Such an ask has priority over one without waiting
+	// requests.
 	Waiting bool
 	// Tier and Slack belong to the most urgent waiting request; tier 0 is the
 	// highest.
--- a/internal/credit/exchange.go
+++ b/internal/credit/exchange.go
@@ -165,8 +165,8 @@
 	return grantsFromWire(response.Msg.GetGrants()), nil
 }
 
-// applyResponse applies an owner's grants. After a failed call the credits expire
-// and the node falls back to FairPart.
+// applyResponse applies an owner's grants. After a failed call the existing credits
+// stay valid until they expire; the node then falls back to FairPart.
 func (e *Exchange) applyResponse(_ string, _ []Ask, grants []Grant, err error) {
 	if err != nil {
 		e.metrics.failed.Inc()
--- a/internal/credit/market_bench_test.go
+++ b/internal/credit/market_bench_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-func smallCluster() marketSize {
-	return marketSize{nodes: 8, replicas: 20, models: 1, limit: 8, service: 4 * time.Second}
+func smallCluster() simulationConfig {
+	return simulationConfig{nodes: 8, replicas: 20, models: 1, limit: 8, service: 4 * time.Second}
 }
 
-func largeRegion() marketSize {
-	return marketSize{nodes: 60, replicas: 352, models: 8, limit: 90, service: 16 * time.Second, perNode: 27}
+func largeRegion() simulationConfig {
+	return simulationConfig{nodes: 60, replicas: 352, models: 8, limit: 90, service: 16 * time.Second, perNode: 27}
 }
 
 // withLoad sets the load as a fraction of the capacity.
-func (s marketSize) withLoad(load float64) marketSize {
+func (s simulationConfig) withLoad(load float64) simulationConfig {
 	s.perNode = load * float64(s.replicas*s.limit) / s.service.Seconds() / float64(s.nodes)
 	return s
 }
@@ -22,7 +22,7 @@
 func BenchmarkMarket(b *testing.B) {
 	cases := []struct {
 		title string
-		size  marketSize
+		size  simulationConfig
 		set   Settings
 	}{
 		{"large/owners=4", largeRegion(), Settings{Owners: 4}},
@@ -48,9 +48,9 @@
 	}
 }
 
-func report(b *testing.B, size marketSize) {
+func report(b *testing.B, size simulationConfig) {
 	for range b.N {
-		f := newMarket(size).measure(20*time.Second, 20*time.Second)
+		f := newSimulation(size).measure(20*time.Second, 20*time.Second)
 		b.ReportMetric(f.bytesPerSecond, "B/s")
 		b.ReportMetric(f.worst, "worst-B/s")
 		b.ReportMetric(f.callsPerSecond, "calls/s")
--- a/internal/credit/market_check_test.go
+++ b/internal/credit/market_check_test.go
@@ -11,9 +11,9 @@
 func TestHighTierIsServedWhereverItArrives(t *testing.T) {
 	size := smallCluster().withLoad(1.5)
 	size.skew = true
-	shared := newMarket(size).measure(10*time.Second, 20*time.Second)
+	shared := newSimulation(size).measure(10*time.Second, 20*time.Second)
 	size.alone = true
-	alone := newMarket(size).measure(10*time.Second, 20*time.Second)
+	alone := newSimulation(size).measure(10*time.Second, 20*time.Second)
 	if shared.mean0 > alone.mean0/3 {
 		t.Errorf("tier 0 waits %.2f s on average with credits, %.2f s without", shared.mean0, alone.mean0)
 	}
--- a/internal/credit/market_test.go
+++ b/internal/credit/market_test.go
@@ -18,10 +18,10 @@
 // callOverhead is the number of bytes of one unary call beyond its messages.
 const callOverhead = 330
 
-const marketStep = 100 * time.Millisecond
+const simulationStep = 100 * time.Millisecond
 
-// marketSize configures a simulation.
-type marketSize struct {
+// simulationConfig configures a simulation.
+type simulationConfig struct {
 	nodes, replicas, limit int
 	// models is the number of upstreams to which the replicas are assigned round robin.
 	models int
@@ -42,9 +42,9 @@
 	arrived time.Time
 }
 
-// marketNode is a simulated node with its queue, running requests, wallet and
+// simulatedNode is one node with its queue, running requests, wallet and
 // owner.
-type marketNode struct {
+type simulatedNode struct {
 	name    string
 	wallet  *Wallet
 	owner   *Owner
@@ -54,13 +54,13 @@
 	calls   int
 }
 
-// market simulates nodes that share replicas by credits, and counts the encoded
+// simulation runs nodes that share replicas by credits, and counts the encoded
 // bytes of each message.
-type market struct {
-	marketSize
+type simulation struct {
+	simulationConfig
 	now     time.Time
 	rng     *rand.Rand
-	members []*marketNode
+	members []*simulatedNode
 	names   []string
 	ownerOf []int
 	ends    []ending
@@ -75,11 +75,11 @@
 	node, replica int
 }
 
-func newMarket(size marketSize) *market {
-	m := &market{marketSize: size, now: start, rng: rand.New(rand.NewPCG(9, 9)), waits: make(map[int][]float64)}
+func newSimulation(size simulationConfig) *simulation {
+	m := &simulation{simulationConfig: size, now: start, rng: rand.New(rand.NewPCG(9, 9)), waits: make(map[int][]float64)}
 	for i := range size.nodes {
 		name := fmt.Sprintf("bp-angyal-vm-%02d", i)
-		m.members = append(m.members, &marketNode{
+		m.members = append(m.members, &simulatedNode{
 			name:    name,
 			wallet:  NewWallet(name, size.settings, rand.New(rand.NewPCG(4, uint64(i)))),
 			owner:   NewOwner(size.settings),
@@ -94,9 +94,9 @@
 	return m
 }
 
-func (m *market) run(d time.Duration) {
+func (m *simulation) run(d time.Duration) {
 	for end := m.now.Add(d); m.now.Before(end); {
-		m.now = m.now.Add(marketStep)
+		m.now = m.now.Add(simulationStep)
 		m.end()
 		for i, n := range m.members {
 			m.arrive(i, n)
@@ -107,7 +107,7 @@
 	}
 }
 
-func (m *market) end() {
+func (m *simulation) end() {
 	m.ends = slices.DeleteFunc(m.ends, func(e ending) bool {
 		if m.now.Before(e.at) {
 			return false
@@ -119,7 +119,7 @@
 
 // arrive adds the step's Poisson arrivals, a fifth of them in tier 0 and the rest
 // in tier 3.
-func (m *market) arrive(i int, n *marketNode) {
+func (m *simulation) arrive(i int, n *simulatedNode) {
 	rates := map[int]float64{0: m.perNode / 5, 3: m.perNode * 4 / 5}
 	if m.skew && i < m.nodes/4 {
 		rates[0] *= 4
@@ -127,7 +127,7 @@
 		rates[0] = 0
 	}
 	for _, tier := range []int{0, 3} {
-		for range m.poisson(rates[tier] * marketStep.Seconds()) {
+		for range m.poisson(rates[tier] * simulationStep.Seconds()) {
 			n.queue = append(n.queue, job{tier: tier, model: m.rng.IntN(m.models), arrived: m.now})
 		}
 	}
@@ -137,7 +137,7 @@
 	}
 }
 
-func (m *market) poisson(mean float64) int {
+func (m *simulation) poisson(mean float64) int {
 	n, p, limit := 0, m.rng.Float64(), math.Exp(-mean)
 	for p > limit {
 		n++
@@ -146,7 +146,7 @@
 	return n
 }
 
-func (m *market) needs(n *marketNode) []Need {
+func (m *simulation) needs(n *simulatedNode) []Need {
 	needs := make([]Need, m.models)
 	for i := range needs {
 		needs[i].Upstream = fmt.Sprint(i)
@@ -172,7 +172,7 @@
 	return needs
 }
 
-func (m *market) exchange(n *marketNode) {
+func (m *simulation) exchange(n *simulatedNode) {
 	if m.alone {
 		return
 	}
@@ -197,7 +197,7 @@
 
 // begin starts queued requests within the allowances, on the replica with the
 // most free slots.
-func (m *market) begin(i int, n *marketNode) {
+func (m *simulation) begin(i int, n *simulatedNode) {
 	if len(n.queue) == 0 {
 		return
 	}
@@ -226,7 +226,7 @@
 	})
 }
 
-func (m *market) allowances(n *marketNode) map[string]int {
+func (m *simulation) allowances(n *simulatedNode) map[string]int {
 	if m.alone {
 		all := make(map[string]int)
 		for _, name := range m.names {
@@ -241,7 +241,7 @@
 	return all
 }
 
-func (m *market) observe() {
+func (m *simulation) observe() {
 	m.steps++
 	for r := range m.names {
 		sum := 0
@@ -255,7 +255,7 @@
 	}
 }
 
-func (m *market) reset() {
+func (m *simulation) reset() {
 	m.started, m.busy, m.steps, m.over = 0, 0, 0, 0
 	m.waits = make(map[int][]float64)
 	for _, n := range m.members {
@@ -273,7 +273,7 @@
 	busy, over float64
 }
 
-func (m *market) measure(warm, d time.Duration) figures {
+func (m *simulation) measure(warm, d time.Duration) figures {
 	m.run(warm)
 	m.reset()
 	m.run(d)
--- a/internal/credit/owner.go
+++ b/internal/credit/owner.go
@@ -9,11 +9,11 @@
 // is not safe for concurrent use.
 type Owner struct {
 	settings Settings
-	replicas map[string]*book
+	replicas map[string]*replicaLeases
 }
 
-// book has the leases of one replica.
-type book struct {
+// replicaLeases has the leases of one replica.
+type replicaLeases struct {
 	// createdAt is when the owner received the first ask for the replica.
 	createdAt time.Time
 	leases    map[string]lease
@@ -45,7 +45,7 @@
 
 // NewOwner returns an owner without leases.
 func NewOwner(settings Settings) *Owner {
-	return &Owner{settings: settings.withDefaults(), replicas: make(map[string]*book)}
+	return &Owner{settings: settings.withDefaults(), replicas: make(map[string]*replicaLeases)}
 }
 
 // Handle records a node's asks and returns one grant for each, in order. nodes is
@@ -59,7 +59,7 @@
 }
 
 func (o *Owner) handle(now time.Time, node string, nodes int, ask Ask) Grant {
-	b := o.book(now, ask.Replica)
+	b := o.leasesOf(now, ask.Replica)
 	if b == nil {
 		return Grant{Replica: ask.Replica, Slots: FairPart(ask.Limit, nodes), For: o.settings.LeaseTime}
 	}
@@ -90,19 +90,19 @@
 	}
 }
 
-func (o *Owner) book(now time.Time, replica string) *book {
+func (o *Owner) leasesOf(now time.Time, replica string) *replicaLeases {
 	if b, ok := o.replicas[replica]; ok {
 		return b
 	}
 	if len(o.replicas) >= maxReplicas {
 		return nil
 	}
-	b := &book{createdAt: now, leases: make(map[string]lease)}
+	b := &replicaLeases{createdAt: now, leases: make(map[string]lease)}
 	o.replicas[replica] = b
 	return b
 }
 
-func (b *book) expire(now time.Time) {
+func (b *replicaLeases) expire(now time.Time) {
 	for node, l := range b.leases {
 		if !now.Before(l.expires) {
 			delete(b.leases, node)
@@ -112,15 +112,15 @@
 
 // allot returns the number of slots for an ask, limited by the slots that other
 // nodes hold and by the unmet needs of those with priority over it.
-func (b *book) allot(now time.Time, node string, ask Ask, lowShare float64) int {
+func (b *replicaLeases) allot(now time.Time, node string, ask Ask, lowShare float64) int {
 	rest := b.sumPeers(now, node, ask)
 	free := max(ask.Limit-rest.held, 0)
 	// Slots beyond the urgent need are available. Less urgent nodes together
 	// also keep lowShare of the limit, so that they are not starved.
-	urgent := max(rest.urgent-rest.ending, 0)
+	urgent := max(rest.urgent-rest.releasing, 0)
 	left := max(free-urgent, 0)
 	if urgent > 0 {
-		low := int(math.Ceil(lowShare*float64(ask.Limit))) - rest.low
+		low := int(math.Ceil(lowShare*float64(ask.Limit))) - rest.lowHeld
 		left = max(left, min(free, low))
 	}
 	slots := min(ask.Want, left)
@@ -130,18 +130,18 @@
 
 // peerTotals sums the leases of the other nodes, in relation to one ask.
 type peerTotals struct {
-	// held is the number of slots held; low is the part of it held by nodes
+	// held is the number of slots held; lowHeld is the part of it held by nodes
 	// without priority over the ask.
-	held, low int
+	held, lowHeld int
 	// unmet is the unmet need of all other nodes; urgent is the part of it from
 	// nodes with priority over the ask.
 	urgent, unmet int
-	// ending is the number of slots held beyond those granted, which become free
+	// releasing is the number of slots held beyond those granted, which become free
 	// as requests end.
-	ending int
+	releasing int
 }
 
-func (b *book) sumPeers(now time.Time, node string, ask Ask) peerTotals {
+func (b *replicaLeases) sumPeers(now time.Time, node string, ask Ask) peerTotals {
 	var sum peerTotals
 	for name, l := range b.leases {
 		if name == node {
@@ -149,11 +149,11 @@
 		}
 		sum.held += l.held()
 		sum.unmet += l.unmet(now)
-		sum.ending += l.held() - l.slots
+		sum.releasing += l.held() - l.slots
 		if l.ask.before(ask) {
 			sum.urgent += l.unmet(now)
 		} else {
-			sum.low += l.held()
+			sum.lowHeld += l.held()
 		}
 	}
 	return sum
--- a/internal/credit/owner_test.go
+++ b/internal/credit/owner_test.go
@@ -15,7 +15,7 @@
 // establishedOwner returns an owner that has tracked the replica for an hour.
 func establishedOwner() (*Owner, time.Time) {
 	o := NewOwner(Settings{})
-	o.book(start, replica)
+	o.leasesOf(start, replica)
 	return o, start.Add(time.Hour)
 }
 
@@ -93,9 +93,9 @@
 	wantSlots(t, "next", grant(o, now, "next", ask(0, 8)), 8)
 }
 
-// TestNewOwnerIsCareful checks that a new owner, which does not know the previous
+// TestNewOwnerGrantsOnlyFairPart checks that a new owner, which does not know the previous
 // owner's leases, grants only the fair part or the slots in use.
-func TestNewOwnerIsCareful(t *testing.T) {
+func TestNewOwnerGrantsOnlyFairPart(t *testing.T) {
 	o := NewOwner(Settings{})
 	wantSlots(t, "idle node", grant(o, start, "a", ask(0, 8)), 1)
 	wantSlots(t, "busy node", grant(o, start, "b", ask(4, 8)), 4)
--- a/internal/credit/subset.go
+++ b/internal/credit/subset.go
@@ -11,7 +11,7 @@
 // subset is the set of an upstream's replicas that a node uses.
 type subset struct {
 	names map[string]bool
-	// total is the number of replicas of the upstream when it was computed.
+	// total is the upstream's number of replicas at computedAt.
 	total              int
 	computedAt, usedAt time.Time
 }
--- a/internal/credit/wallet.go
+++ b/internal/credit/wallet.go
@@ -242,7 +242,8 @@
 	return chosen
 }
 
-// hasNoFreeSlot reports whether requests wait and no slot of the replicas is free.
+// hasNoFreeSlot reports whether requests wait and no valid credit for the replicas
+// has a free slot.
 func (w *Wallet) hasNoFreeSlot(now time.Time, need Need, replicas []ReplicaNeed) bool {
 	if need.Waiting == 0 {
 		return false
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -26,7 +26,7 @@
 type demand struct {
 	requests  float64
 	tokens    float64
-	part      float64
+	smoothed  float64
 	updatedAt time.Time
 }
 
@@ -53,12 +53,12 @@
 	}
 	asked := max(d.requests, d.tokens, 0) / elapsed.Seconds()
 	follow := fallTime
-	if asked > d.part {
+	if asked > d.smoothed {
 		follow = riseTime
 	}
-	d.part += (asked - d.part) * min(elapsed.Seconds()/follow.Seconds(), 1)
-	if d.part < minDemand {
-		d.part = 0
+	d.smoothed += (asked - d.smoothed) * min(elapsed.Seconds()/follow.Seconds(), 1)
+	if d.smoothed < minDemand {
+		d.smoothed = 0
 	}
 	d.requests, d.tokens, d.updatedAt = 0, 0, now
 }
@@ -78,8 +78,8 @@
 	defer s.mu.Unlock()
 	for workspace, u := range s.usages {
 		u.demand.update(now)
-		if u.demand.part > 0 {
-			demands = append(demands, Demand{Workspace: workspace, Part: u.demand.part})
+		if u.demand.smoothed > 0 {
+			demands = append(demands, Demand{Workspace: workspace, Part: u.demand.smoothed})
 		}
 	}
 	return demands
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -44,14 +44,14 @@
 // share of its quota.
 func (l *Limiter) SetQuotas(now time.Time, quotas map[string]config.Quota, share float64) {
 	for i := range l.shards {
-		l.shards[i].forget(quotas)
+		l.shards[i].removeUnlisted(quotas)
 	}
 	for workspace, quota := range quotas {
 		l.shard(workspace).setQuota(now, workspace, quota, share)
 	}
 }
 
-func (s *shard) forget(quotas map[string]config.Quota) {
+func (s *shard) removeUnlisted(quotas map[string]config.Quota) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for workspace := range s.usages {
--- a/internal/usage/peers.go
+++ b/internal/usage/peers.go
@@ -64,15 +64,15 @@
 
 // Gather returns the counts of this node and of each node that responds, for windows from
 // first on, and the number of nodes that did not respond.
-func (g *Gatherer) Gather(ctx context.Context, first int64) (told []SourceCounts, silent int) {
-	told = []SourceCounts{{Source: g.own.source, Windows: g.own.meter.Since(first)}}
+func (g *Gatherer) Gather(ctx context.Context, first int64) (counts []SourceCounts, silent int) {
+	counts = []SourceCounts{{Source: g.own.source, Windows: g.own.meter.Since(first)}}
 	var mu sync.Mutex
 	var asking sync.WaitGroup
-	places := make(chan struct{}, maxConcurrentCalls)
+	semaphore := make(chan struct{}, maxConcurrentCalls)
 	for _, address := range g.addresses() {
-		places <- struct{}{}
+		semaphore <- struct{}{}
 		asking.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-semaphore }()
 			answer, err := g.ask(ctx, address, first)
 			mu.Lock()
 			defer mu.Unlock()
@@ -81,11 +81,11 @@
 				silent++
 				return
 			}
-			told = append(told, answer)
+			counts = append(counts, answer)
 		})
 	}
 	asking.Wait()
-	return told, silent
+	return counts, silent
 }
 
 func (g *Gatherer) ask(ctx context.Context, address string, first int64) (SourceCounts, error) {
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -22,8 +22,9 @@
 	// gatherInterval is the time between two rounds of fetching counts from the nodes. A
 	// node crash loses the counts since the last round.
 	gatherInterval = time.Second
-	// saveInterval is the time between two writes. It bounds the counts lost if the holder
-	// and another node crash together.
+	// saveInterval is the minimum time between two writes; finalizing a window causes an
+	// earlier one. It bounds the counts lost if the holder and another node crash
+	// together.
 	saveInterval = 2 * time.Second
 	// settleTime is the time between a window's end and the round that completes it, to
 	// allow for clock skew between nodes.
@@ -144,7 +145,7 @@
 func decodeBook(value []byte) (*Book, error) {
 	book := &Book{}
 	if err := json.Unmarshal(value, book); err != nil {
-		return nil, fmt.Errorf("usage of %d bytes: %w", len(value), err)
+		return nil, fmt.Errorf("unmarshal book of %d bytes: %w", len(value), err)
 	}
 	book.initMaps()
 	return book, nil
@@ -153,7 +154,7 @@
 // gather fetches the nodes' counts and merges them into the book.
 func (s *session) gather(ctx context.Context) {
 	began := s.options.Now()
-	told, silent := s.options.Gather(ctx, s.book.Next)
+	received, silent := s.options.Gather(ctx, s.book.Next)
 	if ctx.Err() != nil {
 		return
 	}
@@ -162,7 +163,7 @@
 		// An unreachable node may become reachable again before the report is due.
 		s.completeBefore = began.Add(-max(settleTime, time.Duration(maxWaitFraction*float64(s.options.Delay))))
 	}
-	for _, t := range told {
+	for _, t := range received {
 		if late := s.book.Merge(t.Source, t.Windows); late > 0 {
 			s.options.Metrics.late.Add(float64(late))
 			s.options.Log.Write(&countsLate{source: t.Source, requests: late, next: s.book.Next})
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -27,21 +27,21 @@
 	requestsPerSecond = 20
 )
 
-// cloud is a platform that passes reports to the judge.
-type cloud struct{ judge *dutytest.Checker }
+// platformStub passes reports to the checker.
+type platformStub struct{ checker *dutytest.Checker }
 
-func (c cloud) Report(_ context.Context, term duty.Term, r usage.Report) error {
-	return c.judge.Report(term, r.Window, r.Requests)
+func (c platformStub) Report(_ context.Context, term duty.Term, r usage.Report) error {
+	return c.checker.Report(term, r.Window, r.Requests)
 }
 
 // fleet simulates nodes that count requests and contend for the duty, in a synctest bubble.
 type fleet struct {
-	t     *testing.T
-	store *dutytest.Store
-	judge *dutytest.Checker
-	began time.Time
-	stops map[string]func()
-	runs  int
+	t       *testing.T
+	store   *dutytest.Store
+	checker *dutytest.Checker
+	began   time.Time
+	stops   map[string]func()
+	runs    int
 
 	mu     sync.Mutex
 	meters map[string]*usage.Meter
@@ -50,7 +50,7 @@
 
 func newFleet(t *testing.T, seed uint64, names ...string) *fleet {
 	f := &fleet{
-		t: t, store: dutytest.NewStore(seed), judge: dutytest.NewChecker(ttl, seed), began: time.Now(),
+		t: t, store: dutytest.NewStore(seed), checker: dutytest.NewChecker(ttl, seed), began: time.Now(),
 		meters: make(map[string]*usage.Meter), stops: make(map[string]func()), dead: make(map[string]bool),
 	}
 	for _, name := range names {
@@ -62,7 +62,7 @@
 func (f *fleet) clock() boottime.Instant { return boottime.Instant(time.Since(f.began)) + 1 }
 
 // gather returns the counts of all nodes except dead ones.
-func (f *fleet) gather(_ context.Context, first int64) (told []usage.SourceCounts, silent int) {
+func (f *fleet) gather(_ context.Context, first int64) (counts []usage.SourceCounts, silent int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, m := range f.meters {
@@ -70,9 +70,9 @@
 			silent++
 			continue
 		}
-		told = append(told, usage.SourceCounts{Source: name, Windows: m.Since(first)})
+		counts = append(counts, usage.SourceCounts{Source: name, Windows: m.Since(first)})
 	}
-	return told, silent
+	return counts, silent
 }
 
 // start starts a new process of a node, without state of an earlier one.
@@ -86,7 +86,7 @@
 	registry := prometheus.NewRegistry()
 	log := eventlog.New(io.Discard, name)
 	reporter := usage.NewReporter(usage.ReporterOptions{
-		Store: f.store, Platform: cloud{f.judge}, Gather: f.gather, Length: length, Delay: delay,
+		Store: f.store, Platform: platformStub{f.checker}, Gather: f.gather, Length: length, Delay: delay,
 		Now: time.Now, Clock: f.clock, Log: log, Metrics: usage.NewMetrics(registry),
 	})
 	holder, err := duty.NewHolder(duty.Options{
@@ -125,15 +125,15 @@
 		stop()
 	}
 	f.store.Wait()
-	f.judge.Wait()
-	for _, broken := range f.judge.Violations() {
+	f.checker.Wait()
+	for _, broken := range f.checker.Violations() {
 		f.t.Error(broken)
 	}
 }
 
 // overdue returns the windows since the start whose report is overdue.
 func (f *fleet) overdue() []int64 {
-	reports := f.judge.Reports()
+	reports := f.checker.Reports()
 	var missing []int64
 	for w := usage.Window(f.began, length) + 1; !usage.End(w, length).Add(delay).After(time.Now()); w++ {
 		if _, ok := reports[w]; !ok {
@@ -151,7 +151,7 @@
 			t.Errorf("windows %v are overdue", missing)
 		}
 		want := int64(3 * requestsPerSecond * length / time.Second)
-		for window, counts := range f.judge.Reports() {
+		for window, counts := range f.checker.Reports() {
 			// The first window began before the fleet. A request at a window's edge may
 			// be counted in either window.
 			if off := counts["shop"] - want; window > usage.Window(f.began, length) && (off < -3 || off > 3) {
@@ -198,7 +198,7 @@
 		if missing := f.overdue(); len(missing) > 0 {
 			t.Errorf("windows %v are overdue", missing)
 		}
-		counted := f.judge.Reports()[window]["shop"]
+		counted := f.checker.Reports()[window]["shop"]
 		if least := int64(3 * requestsPerSecond); counted < least {
 			t.Errorf("%d requests reported for the window of the crash, want at least %d", counted, least)
 		}
@@ -230,12 +230,12 @@
 			f.store.SetFaults(dutytest.StoreFaults{LostAnswerRate: 0.5, LateWriteRate: 0.5})
 		case 2:
 			f.store.SetFaults(dutytest.StoreFaults{})
-			f.judge.SetLateRate(random.Float64() / 2)
+			f.checker.SetLateRate(random.Float64() / 2)
 		case 3:
 			f.stops[name]()
 			f.start(name)
 		case 4:
-			f.judge.SetLateRate(0)
+			f.checker.SetLateRate(0)
 		}
 		time.Sleep(time.Duration(random.Int64N(int64(length))))
 	}
