--- a/internal/edge/announcer.go
+++ b/internal/edge/announcer.go
@@ -17,10 +17,11 @@
 	// announceTTL is how long the entry of a stopped node remains in the store. An entry is
 	// only a candidate peer; the nodes check liveness themselves.
 	announceTTL = 30 * time.Second
-	// renewInterval allows two more attempts before the lease expires.
+	// renewInterval leaves time for retries before the lease expires.
 	renewInterval = 8 * time.Second
 	// defaultListInterval is the interval between listings of the announced nodes. Nodes
-	// also learn of each other by exchange; the listing finds those not yet in contact.
+	// also learn of each other through nodesync; the listing finds those not yet reached by
+	// it.
 	defaultListInterval = 8 * time.Second
 	// memberListInterval is longer, since a member learns of new nodes from its hub.
 	memberListInterval = time.Minute
@@ -56,8 +57,9 @@
 	// settledAt is the end of settlePeriod, renewAt when to renew or grant the lease, listAt
 	// when to list the announced nodes.
 	settledAt, renewAt, listAt boottime.Instant
-	// watch detects a store outage on a node that gets all its copies from others.
-	watch outageLogger
+	// outages logs store outages. A node that gets all its copies from other nodes detects
+	// one by the failed listing.
+	outages outageLogger
 }
 
 // run renews the lease and lists nodes until ctx ends.
@@ -68,7 +70,7 @@
 		// Gives the seeds time to answer first.
 		a.listAt = now.Add(aloneListInterval)
 	}
-	a.watch = outageLogger{what: "nodes", log: a.log}
+	a.outages = outageLogger{recordName: "nodes", log: a.log}
 	for {
 		a.tick(ctx)
 		if ctxtime.Sleep(ctx, announcerTick) != nil {
@@ -94,7 +96,7 @@
 		err := a.list(limited)
 		a.metrics.countRead("nodes", err)
 		if ctx.Err() == nil {
-			a.watch.observe(err)
+			a.outages.observe(err)
 		}
 		pause := a.nextListInterval()
 		a.listAt = a.clock().Add(pause + time.Duration(a.rand.Int64N(int64(pause/4))))
--- a/internal/edge/announcer_test.go
+++ b/internal/edge/announcer_test.go
@@ -40,7 +40,7 @@
 		defer cancel()
 		a.run(ctx)
 	})
-	return store, store.reads
+	return store, store.calls
 }
 
 // TestOnlySeedsHubsAndSmallFleetsAreAnnounced guards against overloading the store when
@@ -52,7 +52,7 @@
 		seed      bool
 		others    int
 		announced bool
-		most      int
+		maxCalls  int
 	}{
 		{"a member of a large fleet", nodesync.Member, false, 294, false, 2},
 		{"a member that is a seed", nodesync.Member, true, 294, true, 5},
@@ -64,10 +64,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			store, calls := runAnnouncer(t, test.role, test.seed, test.others, time.Minute)
 			if _, announced := store.nodes["self"]; announced != test.announced {
-				t.Errorf("announced: %t", announced)
+				t.Errorf("node announced: %t, want the opposite", announced)
 			}
-			if calls > test.most {
-				t.Errorf("%d calls in a minute, want %d at most", calls, test.most)
+			if calls > test.maxCalls {
+				t.Errorf("%d calls in a minute, want %d at most", calls, test.maxCalls)
 			}
 		})
 	}
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -26,11 +26,11 @@
 // duties is a node's part in the work that one elected node does for the whole fleet.
 type duties struct {
 	node *Node
-	// time is the fleet-wide wall clock.
-	time   *fleettime.Clock
-	meter  *usage.Meter
-	counts *usage.Service
-	holder *duty.Holder
+	// fleetClock is the fleet-wide wall clock.
+	fleetClock   *fleettime.Clock
+	meter        *usage.Meter
+	usageService *usage.Service
+	holder       *duty.Holder
 	// random is used only by the holder's goroutine.
 	random *rand.Rand
 }
@@ -53,12 +53,12 @@
 		return nil
 	}
 	d := &duties{
-		node:   n,
-		time:   fleettime.New(n.options.Clock, time.Now),
-		random: rand.New(rand.NewPCG(n.options.Seed, 6)),
+		node:       n,
+		fleetClock: fleettime.New(n.options.Clock, time.Now),
+		random:     rand.New(rand.NewPCG(n.options.Seed, 6)),
 	}
-	d.meter = usage.NewMeter(s.UsageWindow.Std(), d.time.Now)
-	d.counts = usage.NewService(d.processID(), d.meter)
+	d.meter = usage.NewMeter(s.UsageWindow.Std(), d.fleetClock.Now)
+	d.usageService = usage.NewService(d.processID(), d.meter)
 	return d
 }
 
@@ -81,7 +81,7 @@
 	if d == nil {
 		return nil
 	}
-	return d.time
+	return d.fleetClock
 }
 
 // fence returns the fencing token of the duties, or 0 if this node does not hold them.
@@ -98,14 +98,14 @@
 		return nil
 	}
 	n, s := d.node, d.node.options.Settings.PassThrough.Duties
-	n.peers.Mount(d.counts.Handler())
+	n.peers.Mount(d.usageService.Handler())
 	var works []duty.Work
 	if s.Has(settings.Metering) {
 		works = append(works, usage.NewReporter(usage.ReporterOptions{
 			Store: n.options.Store, Platform: n.options.Duties,
-			Gather: usage.NewGatherer(d.counts, n.clients, d.meteringPeers).Gather,
+			Gather: usage.NewGatherer(d.usageService, n.clients, d.meteringPeers).Gather,
 			Length: s.UsageWindow.Std(), Delay: s.UsageDelay.Std(),
-			Now: d.time.Now, Clock: n.options.Clock, Log: n.log, Metrics: usage.NewMetrics(n.registry),
+			Now: d.fleetClock.Now, Clock: n.options.Clock, Log: n.log, Metrics: usage.NewMetrics(n.registry),
 		}))
 	}
 	if s.Has(settings.Autoscale) {
@@ -155,9 +155,9 @@
 // delay the report needlessly.
 func (d *duties) meteringPeers() []string {
 	s := d.node.options.Settings.PassThrough
-	counts := s.RevokeAfter.Std() + s.Duties.UsageWindow.Std() + gatherMargin
+	maxSilence := s.RevokeAfter.Std() + s.Duties.UsageWindow.Std() + gatherMargin
 	var addresses []string
-	for _, node := range d.node.nodes.SeenWithin(counts, d.node.options.Clock()) {
+	for _, node := range d.node.nodes.SeenWithin(maxSilence, d.node.options.Clock()) {
 		addresses = append(addresses, node.PeerAddress)
 	}
 	return addresses
--- a/internal/edge/duties_test.go
+++ b/internal/edge/duties_test.go
@@ -37,13 +37,13 @@
 func TestUsageOfAllNodesIsReportedOnce(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
-	d.allServe()
+	d.waitUntilAllReady()
 	d.eventually("a node holds the duties", func() bool { return d.nodes[0].duties.fence()+d.nodes[1].duties.fence() > 0 })
 	const calls = 7
 	for range calls {
 		for _, n := range d.nodes {
 			if status := d.status(n, "first"); status != http.StatusOK {
-				t.Fatalf("status %d", status)
+				t.Fatalf("a valid key got status %d, want 200", status)
 			}
 			// A request with an unknown key is rejected and not counted.
 			d.status(n, "other")
@@ -58,7 +58,7 @@
 func TestStoppingNodeReleasesDuties(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
-	d.allServe()
+	d.waitUntilAllReady()
 	d.eventually("a node holds the duties", func() bool { return d.nodes[0].duties.fence()+d.nodes[1].duties.fence() > 0 })
 	first, second := d.nodes[0], d.nodes[1]
 	if first.duties.fence() == 0 {
--- a/internal/edge/events.go
+++ b/internal/edge/events.go
@@ -9,8 +9,8 @@
 
 // storeAvailabilityChanged reports that reads of the store started to fail, or recovered.
 type storeAvailabilityChanged struct {
-	what string
-	err  error
+	recordName string
+	err        error
 }
 
 // Name implements eventlog.Event.
@@ -26,7 +26,7 @@
 
 // Fields implements eventlog.Event.
 func (e *storeAvailabilityChanged) Fields() eventlog.Fields {
-	fields := eventlog.Fields{"read": e.what}
+	fields := eventlog.Fields{"read": e.recordName}
 	if e.err != nil {
 		fields["error"] = e.err.Error()
 	}
@@ -36,16 +36,16 @@
 // outageLogger logs when reads of one record start to fail and when they recover. It is
 // not safe for concurrent use.
 type outageLogger struct {
-	what string
-	log  *eventlog.Log
-	lost bool
+	recordName string
+	log        *eventlog.Log
+	lost       bool
 }
 
 // observe records the result of a read and logs a change.
-func (w *outageLogger) observe(err error) {
-	if lost := err != nil; lost != w.lost {
-		w.lost = lost
-		w.log.Write(&storeAvailabilityChanged{what: w.what, err: err})
+func (l *outageLogger) observe(err error) {
+	if lost := err != nil; lost != l.lost {
+		l.lost = lost
+		l.log.Write(&storeAvailabilityChanged{recordName: l.recordName, err: err})
 	}
 }
 
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -13,8 +13,8 @@
 const (
 	// headerTimeout bounds reading a request's headers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout closes idle client connections. It is longer than any configuration lets
-	// callers reuse one.
+	// idleTimeout closes idle client connections. It is longer than any configuration allows
+	// callers to keep an idle connection for reuse.
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
 )
@@ -22,7 +22,7 @@
 // listen opens all listeners, so that an address in use fails the start.
 func (n *Node) listen() error {
 	s := n.options.Settings
-	answers := n.discoveryHandler()
+	discovery := n.discoveryHandler()
 	listeners := []struct {
 		field, address string
 		serve          func(net.Listener) error
@@ -30,8 +30,8 @@
 		{"listen", s.Listen, serveFunc(n.handler)},
 		{"peer_listen", s.PeerListen, n.peers.Serve},
 		{"ops_listen", s.OpsListen, serveFunc(n.opsHandler())},
-		{"pass_through.ready_listen", s.PassThrough.ReadyListen, serveFunc(answers)},
-		{"pass_through.resolve_listen", s.PassThrough.ResolveListen, serveFunc(answers)},
+		{"pass_through.ready_listen", s.PassThrough.ReadyListen, serveFunc(discovery)},
+		{"pass_through.resolve_listen", s.PassThrough.ResolveListen, serveFunc(discovery)},
 	}
 	opened := make(map[string]bool)
 	for _, l := range listeners {
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -9,7 +9,8 @@
 	"galenatrestle/internal/routesource"
 )
 
-// metrics covers the node's copies of the platform's records.
+// metrics counts the calls to the store. newMetrics also registers gauges for the age and
+// version of the node's copies.
 type metrics struct {
 	reads *prometheus.CounterVec
 }
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -6,9 +6,9 @@
 	"galenatrestle/internal/metricstest"
 )
 
-// TestEveryMetricIsOnThePage compares the registered and the documented metrics in both
+// TestEveryMetricIsDocumented compares the registered and the documented metrics in both
 // directions.
-func TestEveryMetricIsOnThePage(t *testing.T) {
+func TestEveryMetricIsDocumented(t *testing.T) {
 	d := newDeployment(t)
 	metricstest.ComparePage(t, d.nodes[0].registry, "../../docs/operators/pass-through-metrics.md")
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -32,24 +32,24 @@
 
 // Node is the process on one edge VM.
 type Node struct {
-	options   Options
-	log       *eventlog.Log
-	registry  *prometheus.Registry
-	routes    *routesource.Current
-	replicas  *replica.Set
-	conns     *replicaconn.Pool
-	placer    *placement.Placer
-	rates     *rates
-	budget    *retrybudget.Budget
-	nodes     *nodesync.Nodes
-	sync      *nodesync.Sync
-	handler   *passthrough.Handler
-	reader    *reader
-	announcer *announcer
-	clients   *peer.Clients
-	peers     *peer.Server
-	duties    *duties
-	servers   []*server
+	options     Options
+	log         *eventlog.Log
+	registry    *prometheus.Registry
+	routes      *routesource.Current
+	replicas    *replica.Set
+	conns       *replicaconn.Pool
+	placer      *placement.Placer
+	rateLimiter *rateLimiter
+	budget      *retrybudget.Budget
+	nodes       *nodesync.Nodes
+	sync        *nodesync.Sync
+	handler     *passthrough.Handler
+	reader      *reader
+	announcer   *announcer
+	clients     *peer.Clients
+	peers       *peer.Server
+	duties      *duties
+	servers     []*server
 	// entryAddress and peerAddress are the advertised addresses.
 	entryAddress string
 	peerAddress  string
@@ -82,9 +82,9 @@
 	}
 	n.settings.Store(s)
 	n.conns = replicaconn.NewPool(replicaconn.TCPDial(replicaconn.DefaultDialTimeout), n.countConnection())
-	n.rates = newRates(n)
+	n.rateLimiter = newRateLimiter(n)
 	n.placer = placement.NewPlacer(s.AvailabilityZone, n.replicas, random)
-	n.placer.SetPermits(n.rates.permits)
+	n.placer.SetPermits(n.rateLimiter.permits)
 	n.budget = retrybudget.New(n.retryLimits())
 	n.duties = newDuties(n)
 	tracker := quarantine.NewTracker(quarantine.DefaultMaxRecords)
@@ -93,7 +93,7 @@
 	isSeed := slices.Contains(s.Peers.Seeds, s.Advertise.Peer) || slices.Contains(s.Peers.Seeds, s.PeerListen)
 	n.reader = &reader{
 		store: options.Store, routes: n.routes, replicas: n.replicas, onReplicaChanges: n.onReplicaChanges,
-		role: n.sync.Role, turn: n.sync.StoreReaderIndex, clock: options.Clock, log: n.log,
+		role: n.sync.Role, readerIndex: n.sync.StoreReaderIndex, clock: options.Clock, log: n.log,
 		firstReadAt: n.firstReadAt(isSeed),
 		applyWithin: func() time.Duration { return n.settings.Load().PassThrough.ApplyWithin.Std() },
 		leaveWithin: func() time.Duration { return n.settings.Load().PassThrough.LeaveWithin.Std() },
@@ -132,16 +132,17 @@
 func (n *Node) newSync(tracker *quarantine.Tracker) *nodesync.Sync {
 	return nodesync.New(nodesync.Options{
 		Self: n.self, Nodes: n.nodes, Routes: n.routes, Replicas: n.replicas, OnReplicaChanges: n.onReplicaChanges,
-		Placer: n.placer, Tracker: tracker, RateLimitTable: n.rates.limits, IdleRoundInterval: n.idleRoundInterval, SumsMaxAge: nodesync.DefaultSumsMaxAge, Clock: n.options.Clock,
+		Placer: n.placer, Tracker: tracker, RateLimitTable: n.rateLimiter.limits, IdleRoundInterval: n.idleRoundInterval, SumsMaxAge: nodesync.DefaultSumsMaxAge, Clock: n.options.Clock,
 		FleetTime: n.duties.clock(), Rand: rand.New(rand.NewPCG(n.options.Seed, 3)), Log: n.log,
 	})
 }
 
 const (
-	// boundPerIdleRound is the part of the propagation bound that adds one tick to an idle
-	// node's round interval. The rest allows for the age of the copies at the hubs.
+	// boundPerIdleRound is the propagation bound that each tick between an idle node's
+	// rounds needs. It is longer than a tick, to allow for the age of the hubs' copies.
 	boundPerIdleRound = time.Second
-	// maxIdleRoundInterval keeps an idle node from being considered dead.
+	// maxIdleRoundInterval is the maximum number of ticks between an idle node's rounds. It
+	// keeps other nodes from considering the node dead.
 	maxIdleRoundInterval = 4
 )
 
@@ -156,7 +157,7 @@
 	probe := func(ctx context.Context, r replica.Replica) error { return n.conns.Probe(ctx, r.ID, r.Address) }
 	forwarder := forward.New(forward.Options{
 		Placer: n.placer, Replicas: n.replicas, Conns: n.conns, Codec: n.options.Codec,
-		Budget: n.budget, CrashGuard: forward.NewCrashGuard(tracker, probe, n.log), RateLimits: n.rates.limits, Permits: n.rates.permits, Log: n.log, Registry: n.registry,
+		Budget: n.budget, CrashGuard: forward.NewCrashGuard(tracker, probe, n.log), RateLimits: n.rateLimiter.limits, Permits: n.rateLimiter.permits, Log: n.log, Registry: n.registry,
 		OnRun: n.duties.requestCounter(),
 	})
 	return passthrough.New(passthrough.Options{
@@ -166,7 +167,7 @@
 	})
 }
 
-// setUpPeers creates the clients and the server for the other nodes.
+// setUpPeers creates the clients and the server for calls between nodes.
 func (n *Node) setUpPeers() error {
 	keys, err := peer.NewKeys(peer.KeyFiles{
 		Certificate: n.options.Settings.TLS.CertificateFile,
@@ -180,7 +181,7 @@
 	n.sync.SetClients(n.clients)
 	n.peers = peer.NewServer(keys, n.registry)
 	n.peers.Mount(n.sync.Handler())
-	n.rates.setUp()
+	n.rateLimiter.setUp()
 	return n.duties.setUp()
 }
 
@@ -224,7 +225,7 @@
 		n.log.Write(&replicaChanged{change: c, revision: listing.Revision, age: age})
 		if c.Kind == replica.Removed {
 			n.conns.Forget(c.Replica.ID)
-			n.rates.forget(c.Replica.ID)
+			n.rateLimiter.forget(c.Replica.ID)
 		}
 	}
 }
@@ -240,11 +241,11 @@
 // Run serves until ctx ends, then stops gracefully within the grace time. It returns an
 // error if a listener fails.
 func (n *Node) Run(ctx context.Context) error {
-	logged := make(chan struct{})
+	stopLogger := make(chan struct{})
 	var logger sync.WaitGroup
-	logger.Go(func() { n.log.Run(logged) })
+	logger.Go(func() { n.log.Run(stopLogger) })
 	defer logger.Wait()
-	defer close(logged)
+	defer close(stopLogger)
 	background, cancel := context.WithCancel(context.Background())
 	defer n.tasks.Wait()
 	defer cancel()
@@ -254,13 +255,13 @@
 	dutiesCtx, endDuties := context.WithCancel(background)
 	defer endDuties()
 	n.tasks.Go(func() { n.duties.run(dutiesCtx) })
-	failed := make(chan error, len(n.servers))
+	serveErrors := make(chan error, len(n.servers))
 	for _, s := range n.servers {
-		go func() { failed <- s.run() }()
+		go func() { serveErrors <- s.run() }()
 	}
 	select {
 	case <-ctx.Done():
-	case err := <-failed:
+	case err := <-serveErrors:
 		n.log.Error("serve", err)
 		return err
 	}
@@ -273,10 +274,10 @@
 func (n *Node) start(ctx context.Context) {
 	seed := n.options.Seed
 	n.tasks.Go(func() {
-		n.reader.poll(ctx, n.reader.configuration(), rand.New(rand.NewPCG(seed, 4)))
+		n.reader.poll(ctx, n.reader.configurationRecord(), rand.New(rand.NewPCG(seed, 4)))
 	})
 	n.tasks.Go(func() {
-		n.reader.poll(ctx, n.reader.registrations(), rand.New(rand.NewPCG(seed, 5)))
+		n.reader.poll(ctx, n.reader.registrationsRecord(), rand.New(rand.NewPCG(seed, 5)))
 	})
 	n.tasks.Go(func() { n.announcer.run(ctx) })
 	n.tasks.Go(func() { n.sync.Run(ctx) })
--- a/internal/edge/node_test.go
+++ b/internal/edge/node_test.go
@@ -33,7 +33,7 @@
 	// kv stores the leases and the duties' keys.
 	kv    *dutytest.Store
 	down  map[string]bool
-	reads int
+	calls int
 }
 
 // nodeStore is the store as seen by one node.
@@ -42,11 +42,12 @@
 	node string
 }
 
-func (s nodeStore) reach() error {
+// countCallLocked counts a call, or returns an error if the node cannot reach the store.
+func (s nodeStore) countCallLocked() error {
 	if s.down[s.node] {
 		return platform.ErrUnavailable
 	}
-	s.reads++
+	s.calls++
 	return nil
 }
 
@@ -54,22 +55,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.document == nil {
-		return nil, errors.Join(platform.ErrNotFound, s.reach())
+		return nil, errors.Join(platform.ErrNotFound, s.countCallLocked())
 	}
-	return s.document, s.reach()
+	return s.document, s.countCallLocked()
 }
 
 func (s nodeStore) Replicas(context.Context) (replica.Listing, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.reach(); err != nil {
+	if err := s.countCallLocked(); err != nil {
 		return replica.Listing{}, err
 	}
 	return s.listing, nil
 }
 
 func (s nodeStore) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
-	if err := s.reached(); err != nil {
+	if err := s.countCall(); err != nil {
 		return 0, err
 	}
 	return s.kv.Grant(ctx, ttl)
@@ -82,30 +83,30 @@
 func (s nodeStore) End(ctx context.Context, lease int64) error { return s.kv.End(ctx, lease) }
 
 func (s nodeStore) Get(ctx context.Context, key string) (platform.Entry, error) {
-	if err := s.reached(); err != nil {
+	if err := s.countCall(); err != nil {
 		return platform.Entry{}, err
 	}
 	return s.kv.Get(ctx, key)
 }
 
 func (s nodeStore) Commit(ctx context.Context, t platform.Transaction) (int64, error) {
-	if err := s.reached(); err != nil {
+	if err := s.countCall(); err != nil {
 		return 0, err
 	}
 	return s.kv.Commit(ctx, t)
 }
 
-// reached calls reach while holding the lock.
-func (s nodeStore) reached() error {
+// countCall calls countCallLocked with the lock held.
+func (s nodeStore) countCall() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reach()
+	return s.countCallLocked()
 }
 
 func (s nodeStore) Announce(_ context.Context, n nodesync.Node, _ int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.reach(); err != nil {
+	if err := s.countCallLocked(); err != nil {
 		return err
 	}
 	s.nodes[n.Name] = n
@@ -119,7 +120,7 @@
 	for _, n := range s.nodes {
 		list = append(list, n)
 	}
-	return list, s.reach()
+	return list, s.countCallLocked()
 }
 
 func (s *fakeStore) set(change func()) {
@@ -311,7 +312,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (d *deployment) allServe() {
+func (d *deployment) waitUntilAllReady() {
 	d.t.Helper()
 	for _, n := range d.nodes {
 		d.eventually(n.options.Settings.Name+" is ready and returns both addresses", func() bool { return d.ready(n) && len(d.resolve(n)) == 2 })
@@ -321,14 +322,14 @@
 func TestRequestsAreForwardedAndAuthenticated(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
-	d.allServe()
+	d.waitUntilAllReady()
 	for _, n := range d.nodes {
 		status, body, _ := d.send(n, "first")
 		if status != http.StatusOK || body != "done for shop" {
 			t.Errorf("%s: status %d, body %q", n.options.Settings.Name, status, body)
 		}
 		if status := d.status(n, "other"); status != http.StatusUnauthorized {
-			t.Errorf("an unknown key got %d", status)
+			t.Errorf("an unknown key got status %d, want 401", status)
 		}
 	}
 }
@@ -338,8 +339,8 @@
 func TestNodeWithoutStoreSyncsFromPeer(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
-	d.allServe()
-	cut := d.nodes[0]
+	d.waitUntilAllReady()
+	isolated := d.nodes[0]
 	d.store.set(func() {
 		d.store.down["vm-1"] = true
 		d.store.document = []byte("2 second")
@@ -347,23 +348,23 @@
 		r.Draining = true
 		d.store.listing = replica.Listing{Revision: 7, Replicas: []replica.Replica{r, d.replica("i-2")}}
 	})
-	d.eventually("the new key is accepted", func() bool { return d.status(cut, "second") == http.StatusOK })
-	if status := d.status(cut, "first"); status != http.StatusUnauthorized {
-		t.Errorf("the revoked key got %d", status)
+	d.eventually("the new key is accepted", func() bool { return d.status(isolated, "second") == http.StatusOK })
+	if status := d.status(isolated, "first"); status != http.StatusUnauthorized {
+		t.Errorf("the revoked key got status %d, want 401", status)
 	}
-	d.eventually("the draining replica is excluded", func() bool { return !cut.replicas.Usable("i-1") && cut.replicas.Usable("i-2") })
-	if !d.ready(cut) {
+	d.eventually("the draining replica is excluded", func() bool { return !isolated.replicas.Usable("i-1") && isolated.replicas.Usable("i-2") })
+	if !d.ready(isolated) {
 		t.Error("the node is not ready, although its peer proves the configuration")
 	}
 	d.eventually("the log names the source of the configuration", func() bool {
-		return strings.Contains(cut.log.String(), `"from":"vm-2"`) && strings.Contains(cut.log.String(), `"store_lost"`)
+		return strings.Contains(isolated.log.String(), `"from":"vm-2"`) && strings.Contains(isolated.log.String(), `"store_lost"`)
 	})
 }
 
 func TestPlannedStopRemovesEntryAddressAndServesLateRequests(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
-	d.allServe()
+	d.waitUntilAllReady()
 	leaving, staying := d.nodes[0], d.nodes[1]
 	leaving.stop()
 	d.eventually("the leaving node's address is withdrawn", func() bool {
@@ -385,7 +386,7 @@
 func TestNodeWithoutConfigurationIsNotReady(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
-	d.allServe()
+	d.waitUntilAllReady()
 	d.store.set(func() {
 		d.store.document = nil
 		d.store.down["vm-3"] = true
@@ -393,7 +394,7 @@
 	fresh := d.start("vm-3")
 	status, _, header := d.send(fresh, "first")
 	if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
-		t.Errorf("status %d, header %v", status, header)
+		t.Errorf("status %d, header %v, want 503 with Retry-After", status, header)
 	}
 	if d.ready(fresh) {
 		t.Error("a node without a configuration is ready")
@@ -403,7 +404,7 @@
 func TestReloadAppliesBoundsAndKeepsServing(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
-	d.allServe()
+	d.waitUntilAllReady()
 	n := d.nodes[0]
 	changed := *n.settings.Load()
 	bounds := *changed.PassThrough
@@ -411,7 +412,7 @@
 	changed.PassThrough = &bounds
 	n.Reload(&changed)
 	if n.bounds().RevokeAfter != time.Minute {
-		t.Errorf("bounds %+v", n.bounds())
+		t.Errorf("after the reload the bounds are %+v, want RevokeAfter of one minute", n.bounds())
 	}
 	n.Reload(&settings.Settings{})
 	n.ReloadFailed(errors.New("field listen, value x"))
--- a/internal/edge/questions.go
+++ b/internal/edge/questions.go
@@ -9,8 +9,9 @@
 	"galenatrestle/internal/nodesync"
 )
 
-// maxReadyProofAge is the maximum age of the configuration's proof at which a node is
-// ready. An older one may soon force it to refuse requests that carry keys.
+// maxReadyProofAge is the maximum time since the configuration was last proven to be the
+// newest, up to which a node is ready. With an older proof it may soon have to refuse
+// requests that carry keys.
 const maxReadyProofAge = 2500 * time.Millisecond
 
 // Ready reports whether callers should be sent to this node.
--- a/internal/edge/questions_test.go
+++ b/internal/edge/questions_test.go
@@ -13,7 +13,7 @@
 func TestResolveReturnsNodesOfTheCallersZone(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
-	d.allServe()
+	d.waitUntilAllReady()
 	n := d.nodes[0]
 	now := n.options.Clock()
 	for i := range 300 {
--- a/internal/edge/rates.go
+++ b/internal/edge/rates.go
@@ -2,22 +2,23 @@
 
 import "galenatrestle/internal/ratelimit"
 
-// rates enforces the request rate limits that replicas declare.
-type rates struct {
+// rateLimiter enforces the request rate limits that replicas declare.
+type rateLimiter struct {
 	node    *Node
 	limits  *ratelimit.Table
 	permits *ratelimit.Permits
 	issuer  *ratelimit.Issuer
 }
 
-func newRates(n *Node) *rates {
+func newRateLimiter(n *Node) *rateLimiter {
 	limits := ratelimit.NewTable(n.options.Clock)
 	ratelimit.RegisterMetrics(n.registry, limits)
-	return &rates{node: n, limits: limits, permits: ratelimit.NewPermits(limits), issuer: ratelimit.NewIssuer()}
+	return &rateLimiter{node: n, limits: limits, permits: ratelimit.NewPermits(limits), issuer: ratelimit.NewIssuer()}
 }
 
-// setUp connects the exchange of permits with the other nodes.
-func (r *rates) setUp() {
+// setUp mounts the handler for other nodes' permit requests and lets this node request
+// permits from the issuers.
+func (r *rateLimiter) setUp() {
 	n := r.node
 	exchange := ratelimit.NewExchange(ratelimit.Options{
 		Table: r.limits, Issuer: r.issuer, Self: n.options.Settings.Name,
@@ -27,13 +28,14 @@
 	r.permits.SetAcquireFunc(exchange.RequestPermit)
 }
 
-func (r *rates) issuerOf(replica string) (name, address string) {
+// issuerOf returns the node that issues the replica's permits.
+func (r *rateLimiter) issuerOf(replica string) (name, address string) {
 	issuer := r.node.sync.PermitIssuer(replica)
 	return issuer.Name, issuer.PeerAddress
 }
 
 // forget drops the state of a removed replica.
-func (r *rates) forget(replica string) {
+func (r *rateLimiter) forget(replica string) {
 	r.limits.Forget(replica)
 	r.permits.Forget(replica)
 	r.issuer.Forget(replica)
--- a/internal/edge/reader.go
+++ b/internal/edge/reader.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// readJitter spreads the reads of nodes that do not take turns.
+	// readJitter spreads the reads of nodes that have no place in the read order.
 	readJitter = 600 * time.Millisecond
-	// turnStep is the delay between consecutive nodes in the read order. It is longer than a
-	// read takes to reach the other nodes, so that the next one can skip its own.
-	turnStep = 250 * time.Millisecond
-	// maxTurnSteps bounds the delay if all earlier nodes in the order failed to read.
-	maxTurnSteps = 2
-	// turnJitter separates nodes that assume the same turn.
-	turnJitter = 100 * time.Millisecond
+	// staggerStep is the delay between consecutive nodes in the read order. It is longer
+	// than a copy takes to reach the other nodes, so that the next node need not read.
+	staggerStep = 250 * time.Millisecond
+	// maxStaggerSteps bounds the delay if all earlier nodes in the order failed to read.
+	maxStaggerSteps = 2
+	// staggerJitter separates the reads of nodes that compute the same index.
+	staggerJitter = 100 * time.Millisecond
 	// readTimeout bounds one read, which takes several calls if a listing has pages. The
 	// store's client bounds each call.
 	readTimeout = 4 * time.Second
 )
 
 // readAgeByRole is the age of a copy at which a node reads the store itself, for changes
-// that must propagate within defaultBound. Until then it gets newer copies from other
-// nodes, so the load on the store does not grow with the fleet. A watch would not help:
-// registrations change with each heartbeat. Including jitter, the read and a round between
-// nodes, each age stays within defaultBound.
+// that must propagate within defaultPropagationBound. Until then it gets newer copies from
+// other nodes, so the load on the store does not grow with the fleet. A watch would not
+// help: registrations change with each heartbeat. Including jitter, the read and a round
+// between nodes, each age stays within defaultPropagationBound.
 var readAgeByRole = map[nodesync.Role]time.Duration{
 	nodesync.Peer: 800 * time.Millisecond,
 	// A primary hub reads for the nodes of its availability zone, which read themselves only
@@ -46,19 +46,20 @@
 }
 
 const (
-	// defaultBound is the propagation time that readAgeByRole is designed for.
-	defaultBound = 2 * time.Second
-	// maxSlackFactor keeps the proof below maxReadyProofAge for longer bounds, even if the
-	// node's hub has failed.
+	// defaultPropagationBound is the propagation time that readAgeByRole is designed for.
+	defaultPropagationBound = 2 * time.Second
+	// maxSlackFactor keeps the read age, without jitter, below maxReadyProofAge for longer
+	// bounds.
 	maxSlackFactor = 1.8
 )
 
 // slackFactor returns the factor by which the read age grows for a longer bound.
 func slackFactor(bound time.Duration) float64 {
-	return min(max(bound.Seconds()/defaultBound.Seconds(), 1), maxSlackFactor)
+	return min(max(bound.Seconds()/defaultPropagationBound.Seconds(), 1), maxSlackFactor)
 }
 
-// reader refreshes the copies of the store's records. Its two loops share only the log.
+// reader refreshes the copies of the store's records. poll runs concurrently, once for each
+// record.
 type reader struct {
 	store            Store
 	routes           *routesource.Current
@@ -66,8 +67,8 @@
 	onReplicaChanges func([]replica.Change)
 	// role is the node's role in the exchange between nodes.
 	role func() nodesync.Role
-	// turn is the node's position among the nodes that read for others.
-	turn func() int
+	// readerIndex is the node's position among the nodes that read for others.
+	readerIndex func() int
 	// firstReadAt is when the node may read records that it has no copy of; zero means at
 	// once.
 	firstReadAt boottime.Instant
@@ -79,7 +80,7 @@
 	metrics                  *metrics
 }
 
-// record is a record of the store of which the reader keeps a copy.
+// record describes a part of the store of which the node keeps a copy.
 type record struct {
 	name string
 	// age returns the age of the copy.
@@ -91,60 +92,61 @@
 }
 
 // poll reads the record whenever its copy is due, until ctx ends.
-func (r *reader) poll(ctx context.Context, record record, random *rand.Rand) {
+func (r *reader) poll(ctx context.Context, rec record, random *rand.Rand) {
 	pause := time.Duration(0)
-	watch := outageLogger{what: record.name, log: r.log}
+	outages := outageLogger{recordName: rec.name, log: r.log}
 	for {
-		if !r.awaitAge(ctx, random, record) {
+		if !r.waitUntilDue(ctx, random, rec) {
 			return
 		}
 		limited, cancel := context.WithTimeout(ctx, readTimeout)
-		err := record.read(limited)
+		err := rec.read(limited)
 		cancel()
-		r.metrics.countRead(record.name, err)
+		r.metrics.countRead(rec.name, err)
 		if ctx.Err() != nil {
 			return
 		}
-		watch.observe(err)
+		outages.observe(err)
 		if err == nil {
 			pause = 0
 			continue
 		}
-		pause = r.backoff(record).next(pause)
+		pause = r.backoffFor(rec).next(pause)
 		if ctxtime.Sleep(ctx, pause/2+time.Duration(random.Int64N(int64(pause)))) != nil {
 			return
 		}
 	}
 }
 
-// backoff returns the pauses between failed reads of the record.
-func (r *reader) backoff(record record) backoff {
-	if !record.hasCopy() {
+// backoffFor returns the pauses between failed reads of the record.
+func (r *reader) backoffFor(rec record) backoff {
+	if !rec.hasCopy() {
 		return startBackoff
 	}
-	return backoffs[r.role()]
+	return backoffByRole[r.role()]
 }
 
-// dueAge returns the age at which this node reads a copy. Nodes that read for others take
-// turns, and the rest use jitter, so that one read spares the others theirs. spread is a
-// random number in [0, 1), drawn once per wait.
+// dueAge returns the age of a copy at which this node reads the store. Nodes that read for
+// others are staggered in the read order and the rest by jitter, so that the copy from one
+// read can reach the others before theirs is due. spread is a random number in [0, 1),
+// drawn once per wait.
 func (r *reader) dueAge(spread float64, bound time.Duration) time.Duration {
 	role := r.role()
 	due := time.Duration(float64(readAgeByRole[role]) * slackFactor(bound))
 	switch role {
 	case nodesync.Peer, nodesync.PrimaryHub:
-		step := turnStep * time.Duration(min(r.turn(), maxTurnSteps))
-		return due + step + time.Duration(spread*float64(turnJitter))
+		step := staggerStep * time.Duration(min(r.readerIndex(), maxStaggerSteps))
+		return due + step + time.Duration(spread*float64(staggerJitter))
 	default:
 		return due + time.Duration(spread*float64(readJitter))
 	}
 }
 
-// awaitAge waits until the copy is due for a read. It returns false if ctx ended.
-func (r *reader) awaitAge(ctx context.Context, random *rand.Rand, record record) bool {
+// waitUntilDue waits until the copy is due for a read. It returns false if ctx ended.
+func (r *reader) waitUntilDue(ctx context.Context, random *rand.Rand, rec record) bool {
 	spread := random.Float64()
 	for {
-		left := max(r.dueAge(spread, record.bound())-record.age(), r.untilFirstRead())
+		left := max(r.dueAge(spread, rec.bound())-rec.age(), r.untilFirstRead())
 		if left <= 0 {
 			return ctx.Err() == nil
 		}
@@ -163,14 +165,12 @@
 	return r.firstReadAt.Sub(r.clock())
 }
 
-// configuration returns the record of the operator's configuration.
-func (r *reader) configuration() record {
-	known := func() bool { return r.routes.Get().Version() > 0 }
-	return record{name: "configuration", age: r.routesAge, hasCopy: known, read: r.readRoutes, bound: r.applyWithin}
+func (r *reader) configurationRecord() record {
+	hasCopy := func() bool { return r.routes.Get().Version() > 0 }
+	return record{name: "configuration", age: r.routesAge, hasCopy: hasCopy, read: r.readRoutes, bound: r.applyWithin}
 }
 
-// registrations returns the record of the replicas' registrations.
-func (r *reader) registrations() record {
+func (r *reader) registrationsRecord() record {
 	return record{name: "replicas", age: r.replicasAge, hasCopy: r.replicas.HasListing, read: r.readReplicas, bound: r.leaveWithin}
 }
 
--- a/internal/edge/reader_test.go
+++ b/internal/edge/reader_test.go
@@ -18,30 +18,30 @@
 	"galenatrestle/internal/routesource"
 )
 
-func defaultBoundFunc() time.Duration { return defaultBound }
+func defaultBoundFunc() time.Duration { return defaultPropagationBound }
 
 func recordWithAge(age func() time.Duration) record { return record{age: age, bound: defaultBoundFunc} }
 
-// TestReadAgeFollowsBound checks that a longer bound saves reads, and that no bound lets a
-// node's proof grow too old for it to be ready.
+// TestReadAgeFollowsBound checks that a longer bound saves reads, and that no bound raises
+// the read age, without jitter, above the proof age at which a node is ready.
 func TestReadAgeFollowsBound(t *testing.T) {
 	for role := range readAgeByRole {
-		r := &reader{role: func() nodesync.Role { return role }, turn: func() int { return 0 }}
+		r := &reader{role: func() nodesync.Role { return role }, readerIndex: func() int { return 0 }}
 		due := func(bound time.Duration) time.Duration { return r.dueAge(0, bound) }
-		if due(0) != due(defaultBound) || due(time.Second) != due(defaultBound) {
+		if due(0) != due(defaultPropagationBound) || due(time.Second) != due(defaultPropagationBound) {
 			t.Errorf("role %d: due at %s without a bound, %s with a short one", role, due(0), due(time.Second))
 		}
-		if due(4*time.Second) < due(defaultBound)*3/2 || due(time.Hour) > maxReadyProofAge {
-			t.Errorf("role %d: due at %s, with 4 s at %s, with an hour at %s", role, due(defaultBound), due(4*time.Second), due(time.Hour))
+		if due(4*time.Second) < due(defaultPropagationBound)*3/2 || due(time.Hour) > maxReadyProofAge {
+			t.Errorf("role %d: due at %s, with 4 s at %s, with an hour at %s", role, due(defaultPropagationBound), due(4*time.Second), due(time.Hour))
 		}
 	}
 }
 
 // TestFreshCopyIsNotRead guards against reads of a copy that other nodes keep fresh.
 func TestFreshCopyIsNotRead(t *testing.T) {
-	for role, least := range readAgeByRole {
+	for role, readAge := range readAgeByRole {
 		synctest.Test(t, func(t *testing.T) {
-			r := &reader{role: func() nodesync.Role { return role }, turn: func() int { return 9 }}
+			r := &reader{role: func() nodesync.Role { return role }, readerIndex: func() int { return 9 }}
 			began := time.Now()
 			lastUpdate := began
 			age := func() time.Duration {
@@ -51,23 +51,23 @@
 				}
 				return time.Since(lastUpdate)
 			}
-			if !r.awaitAge(t.Context(), rand.New(rand.NewPCG(1, 1)), recordWithAge(age)) {
-				t.Fatal("awaitAge returned before the copy was due")
+			if !r.waitUntilDue(t.Context(), rand.New(rand.NewPCG(1, 1)), recordWithAge(age)) {
+				t.Fatal("the wait ended before the copy was due: the context ended")
 			}
-			if waited := time.Since(began); waited < 10*time.Second || waited > 10*time.Second+least+readJitter {
+			if waited := time.Since(began); waited < 10*time.Second || waited > 10*time.Second+readAge+readJitter {
 				t.Errorf("role %d read after %s", role, waited)
 			}
 		})
 	}
 }
 
-func TestAwaitAgeEndsWithContext(t *testing.T) {
+func TestWaitUntilDueEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &reader{role: func() nodesync.Role { return nodesync.Peer }, turn: func() int { return 0 }}
+		r := &reader{role: func() nodesync.Role { return nodesync.Peer }, readerIndex: func() int { return 0 }}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if r.awaitAge(ctx, rand.New(rand.NewPCG(1, 1)), recordWithAge(func() time.Duration { return 0 })) {
-			t.Error("a fresh copy is read")
+		if r.waitUntilDue(ctx, rand.New(rand.NewPCG(1, 1)), recordWithAge(func() time.Duration { return 0 })) {
+			t.Error("a fresh copy was reported as due for a read")
 		}
 	})
 }
@@ -76,11 +76,11 @@
 func TestFailedReadsBackOffByRole(t *testing.T) {
 	const outage = 10 * time.Second
 	cases := []struct {
-		name  string
-		role  nodesync.Role
-		known bool
-		least int
-		most  int
+		name     string
+		role     nodesync.Role
+		hasCopy  bool
+		minReads int
+		maxReads int
 	}{
 		{"a member", nodesync.Member, true, 2, 5},
 		{"a secondary hub", nodesync.SecondaryHub, true, 4, 9},
@@ -92,9 +92,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := &reader{
-					role: func() nodesync.Role { return test.role },
-					turn: func() int { return 0 },
-					log:  eventlog.New(io.Discard, "vm-0"),
+					role:        func() nodesync.Role { return test.role },
+					readerIndex: func() int { return 0 },
+					log:         eventlog.New(io.Discard, "vm-0"),
 				}
 				r.metrics = newMetrics(prometheus.NewRegistry(), routesource.New(nil), replica.NewSet(), boottime.Now, r.log)
 				reads := 0
@@ -103,15 +103,15 @@
 				r.poll(ctx, record{
 					name:    "replicas",
 					age:     func() time.Duration { return time.Hour },
-					hasCopy: func() bool { return test.known },
+					hasCopy: func() bool { return test.hasCopy },
 					bound:   defaultBoundFunc,
 					read: func(context.Context) error {
 						reads++
 						return errors.New("the store does not answer")
 					},
 				}, rand.New(rand.NewPCG(1, 1)))
-				if reads < test.least || reads > test.most {
-					t.Errorf("%d reads in %s, want %d to %d", reads, outage, test.least, test.most)
+				if reads < test.minReads || reads > test.maxReads {
+					t.Errorf("%d reads in %s, want %d to %d", reads, outage, test.minReads, test.maxReads)
 				}
 			})
 		})
@@ -122,7 +122,7 @@
 // store.
 func TestFirstStartUsesCopiesFromSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &reader{role: func() nodesync.Role { return nodesync.Member }, turn: func() int { return 0 }}
+		r := &reader{role: func() nodesync.Role { return nodesync.Member }, readerIndex: func() int { return 0 }}
 		began, lastUpdate := time.Now(), time.Time{}
 		r.clock = func() boottime.Instant { return boottime.Instant(time.Since(began)) + 1 }
 		r.firstReadAt = r.clock().Add(firstReadDelay)
@@ -133,8 +133,8 @@
 			}
 			return time.Since(lastUpdate)
 		}
-		if !r.awaitAge(t.Context(), rand.New(rand.NewPCG(1, 1)), recordWithAge(age)) {
-			t.Fatal("awaitAge returned before the copy was due")
+		if !r.waitUntilDue(t.Context(), rand.New(rand.NewPCG(1, 1)), recordWithAge(age)) {
+			t.Fatal("the wait ended before the copy was due: the context ended")
 		}
 		if waited := time.Since(began); waited < 10*time.Second {
 			t.Errorf("read after %s, while other nodes kept the copy fresh", waited)
@@ -145,10 +145,10 @@
 func TestFirstStartWithoutSeedsReadsAfterDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		r := &reader{role: func() nodesync.Role { return nodesync.Peer }, turn: func() int { return 0 }}
+		r := &reader{role: func() nodesync.Role { return nodesync.Peer }, readerIndex: func() int { return 0 }}
 		r.clock = func() boottime.Instant { return boottime.Instant(time.Since(began)) + 1 }
 		r.firstReadAt = r.clock().Add(firstReadDelay)
-		r.awaitAge(t.Context(), rand.New(rand.NewPCG(1, 1)), recordWithAge(func() time.Duration { return time.Hour }))
+		r.waitUntilDue(t.Context(), rand.New(rand.NewPCG(1, 1)), recordWithAge(func() time.Duration { return time.Hour }))
 		if waited := time.Since(began); waited != firstReadDelay {
 			t.Errorf("read after %s, want %s", waited, firstReadDelay)
 		}
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -7,7 +7,7 @@
 	"galenatrestle/internal/eventlog"
 )
 
-// Fractions are relative to the grace time.
+// The fractions are parts of the grace time, counted from the stop signal.
 const (
 	// refuseStreamingFraction is when new streaming responses are refused, since they might
 	// not complete in time.
@@ -37,12 +37,12 @@
 	ticker := time.NewTicker(stopPollInterval)
 	defer ticker.Stop()
 	for now := range ticker.C {
-		spent := now.Sub(began)
-		if spent > fraction(grace, refuseStreamingFraction) {
+		elapsed := now.Sub(began)
+		if elapsed > fraction(grace, refuseStreamingFraction) {
 			n.handler.RefuseStreaming()
 		}
 		idle := n.handler.InFlight() == 0 && n.handler.IdleTime(now) > idlePeriod
-		if spent > fraction(grace, maxStopFraction) || (idle && spent > fraction(grace, minServeFraction)) {
+		if elapsed > fraction(grace, maxStopFraction) || (idle && elapsed > fraction(grace, minServeFraction)) {
 			break
 		}
 	}
