--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -99,7 +99,7 @@
 	}
 	n, s := d.node, d.node.options.Settings.PassThrough.Duties
 	n.peers.Mount(d.usageService.Handler())
-	var works []duty.Work
+	var works []duty.Task
 	if s.Has(settings.Metering) {
 		works = append(works, usage.NewReporter(usage.ReporterOptions{
 			Store: n.options.Store, Platform: n.options.Duties,
@@ -117,7 +117,7 @@
 	}
 	holder, err := duty.NewHolder(duty.Options{
 		Store: n.options.Store, Key: dutiesKey, Node: n.options.Settings.Name, Process: d.processID(),
-		TTL: s.Lease.Std(), Contends: d.shouldContend, Works: works,
+		TTL: s.Lease.Std(), Contends: d.shouldContend, Tasks: works,
 		Clock: n.options.Clock, Rand: rand.New(rand.NewPCG(n.options.Seed, 7)), Log: n.log, Registry: n.registry,
 	})
 	d.holder = holder
