--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -92,16 +92,16 @@
 	return d.holder.Fence()
 }
 
-// setUp creates the holder with its work and mounts the handler for other nodes' queries.
+// setUp creates the holder with its tasks and mounts the handler for other nodes' queries.
 func (d *duties) setUp() error {
 	if d == nil {
 		return nil
 	}
 	n, s := d.node, d.node.options.Settings.PassThrough.Duties
 	n.peers.Mount(d.usageService.Handler())
-	var works []duty.Task
+	var tasks []duty.Task
 	if s.Has(settings.Metering) {
-		works = append(works, usage.NewReporter(usage.ReporterOptions{
+		tasks = append(tasks, usage.NewReporter(usage.ReporterOptions{
 			Store: n.options.Store, Platform: n.options.Duties,
 			Gather: usage.NewGatherer(d.usageService, n.clients, d.meteringPeers).Gather,
 			Length: s.UsageWindow.Std(), Delay: s.UsageDelay.Std(),
@@ -109,7 +109,7 @@
 		}))
 	}
 	if s.Has(settings.Autoscale) {
-		works = append(works, autoscale.New(autoscale.Options{
+		tasks = append(tasks, autoscale.New(autoscale.Options{
 			Store: n.options.Store, Platform: n.options.Duties, Observe: d.observe,
 			FirstStart: n.options.Settings.PassThrough.FirstStart,
 			Clock:      n.options.Clock, Log: n.log, Metrics: autoscale.NewMetrics(n.registry),
@@ -117,7 +117,7 @@
 	}
 	holder, err := duty.NewHolder(duty.Options{
 		Store: n.options.Store, Key: dutiesKey, Node: n.options.Settings.Name, Process: d.processID(),
-		TTL: s.Lease.Std(), Contends: d.shouldContend, Tasks: works,
+		TTL: s.Lease.Std(), Contends: d.shouldContend, Tasks: tasks,
 		Clock: n.options.Clock, Rand: rand.New(rand.NewPCG(n.options.Seed, 7)), Log: n.log, Registry: n.registry,
 	})
 	d.holder = holder
--- a/internal/edge/duties_test.go
+++ b/internal/edge/duties_test.go
@@ -13,22 +13,22 @@
 )
 
 // fakeDutyPlatform receives the platform calls of the duties.
-type fakeDutyPlatform struct{ judge *dutytest.Checker }
+type fakeDutyPlatform struct{ checker *dutytest.Checker }
 
 // Report implements usage.Platform.
 func (s fakeDutyPlatform) Report(_ context.Context, term duty.Term, r usage.Report) error {
-	return s.judge.Report(term, r.Window, r.Requests)
+	return s.checker.Report(term, r.Window, r.Requests)
 }
 
 // Order implements autoscale.Platform.
 func (s fakeDutyPlatform) Order(_ context.Context, term duty.Term, o autoscale.Order) error {
-	return s.judge.Handle(term, fmt.Sprint(o.Pool, o.Replicas), func() {})
+	return s.checker.Handle(term, fmt.Sprint(o.Pool, o.Replicas), func() {})
 }
 
 // reported returns the number of requests reported for the workspace.
 func (s fakeDutyPlatform) reported(workspace string) int64 {
 	var sum int64
-	for _, counts := range s.judge.Reports() {
+	for _, counts := range s.checker.Reports() {
 		sum += counts[workspace]
 	}
 	return sum
@@ -50,8 +50,8 @@
 		}
 	}
 	d.eventually("all calls are reported", func() bool { return d.duties.reported("shop") == calls*int64(len(d.nodes)) })
-	for _, broken := range d.duties.judge.Violations() {
-		t.Error(broken)
+	for _, violation := range d.duties.checker.Violations() {
+		t.Error(violation)
 	}
 }
 
@@ -67,9 +67,9 @@
 	first.stop()
 	<-first.done
 	d.eventually("the other node holds the duties", func() bool { return second.duties.fence() > 0 })
-	before := len(d.duties.judge.Reports())
-	d.eventually("windows are reported again", func() bool { return len(d.duties.judge.Reports()) > before })
-	for _, broken := range d.duties.judge.Violations() {
-		t.Error(broken)
+	before := len(d.duties.checker.Reports())
+	d.eventually("windows are reported again", func() bool { return len(d.duties.checker.Reports()) > before })
+	for _, violation := range d.duties.checker.Violations() {
+		t.Error(violation)
 	}
 }
