--- a/internal/credit/market_test.go
+++ b/internal/credit/market_test.go
@@ -15,22 +15,22 @@
 	creditv1 "galenatrestle/internal/gen/trestle/credit/v1"
 )
 
-// callOverhead is the bytes of one unary call beyond its messages, as measured
-// in package membership.
+// callOverhead is the number of bytes of one unary call beyond its messages.
 const callOverhead = 330
 
-const marketStep = 100 * time.Millisecond
+const simulationStep = 100 * time.Millisecond
 
-// marketSize is one case of the measurement.
-type marketSize struct {
+// simulationConfig configures a simulation.
+type simulationConfig struct {
 	nodes, replicas, limit int
-	// models is the number of upstreams to which the replicas belong in turn.
+	// models is the number of upstreams to which the replicas are assigned round robin.
 	models int
-	// perNode is each node's requests a second, service the mean time of one.
+	// perNode is the request rate per node and second, service the mean duration
+	// of a request.
 	perNode  float64
 	service  time.Duration
 	settings Settings
-	// alone leaves each node with its fair part and no messages.
+	// alone disables messages: each node uses its fair part.
 	alone bool
 	// skew sends all of tier 0 to the first quarter of the nodes.
 	skew bool
@@ -42,8 +42,9 @@
 	arrived time.Time
 }
 
-// marketNode is one node: its queue, what it runs, and both roles.
-type marketNode struct {
+// simulatedNode is one node with its queue, running requests, wallet and
+// owner.
+type simulatedNode struct {
 	name    string
 	wallet  *Wallet
 	owner   *Owner
@@ -53,13 +54,13 @@
 	calls   int
 }
 
-// market drives nodes that share replicas by credits; each message is encoded
-// and counted.
-type market struct {
-	marketSize
+// simulation runs nodes that share replicas by credits, and counts the encoded
+// bytes of each message.
+type simulation struct {
+	simulationConfig
 	now     time.Time
 	rng     *rand.Rand
-	members []*marketNode
+	members []*simulatedNode
 	names   []string
 	ownerOf []int
 	ends    []ending
@@ -74,11 +75,11 @@
 	node, replica int
 }
 
-func newMarket(size marketSize) *market {
-	m := &market{marketSize: size, now: start, rng: rand.New(rand.NewPCG(9, 9)), waits: make(map[int][]float64)}
+func newSimulation(size simulationConfig) *simulation {
+	m := &simulation{simulationConfig: size, now: start, rng: rand.New(rand.NewPCG(9, 9)), waits: make(map[int][]float64)}
 	for i := range size.nodes {
 		name := fmt.Sprintf("bp-angyal-vm-%02d", i)
-		m.members = append(m.members, &marketNode{
+		m.members = append(m.members, &simulatedNode{
 			name:    name,
 			wallet:  NewWallet(name, size.settings, rand.New(rand.NewPCG(4, uint64(i)))),
 			owner:   NewOwner(size.settings),
@@ -93,9 +94,9 @@
 	return m
 }
 
-func (m *market) run(d time.Duration) {
+func (m *simulation) run(d time.Duration) {
 	for end := m.now.Add(d); m.now.Before(end); {
-		m.now = m.now.Add(marketStep)
+		m.now = m.now.Add(simulationStep)
 		m.end()
 		for i, n := range m.members {
 			m.arrive(i, n)
@@ -106,7 +107,7 @@
 	}
 }
 
-func (m *market) end() {
+func (m *simulation) end() {
 	m.ends = slices.DeleteFunc(m.ends, func(e ending) bool {
 		if m.now.Before(e.at) {
 			return false
@@ -116,9 +117,9 @@
 	})
 }
 
-// arrive draws the step's arrivals: a fifth of them in tier 0, the rest in
-// tier 3.
-func (m *market) arrive(i int, n *marketNode) {
+// arrive adds the step's Poisson arrivals, a fifth of them in tier 0 and the rest
+// in tier 3.
+func (m *simulation) arrive(i int, n *simulatedNode) {
 	rates := map[int]float64{0: m.perNode / 5, 3: m.perNode * 4 / 5}
 	if m.skew && i < m.nodes/4 {
 		rates[0] *= 4
@@ -126,7 +127,7 @@
 		rates[0] = 0
 	}
 	for _, tier := range []int{0, 3} {
-		for range m.poisson(rates[tier] * marketStep.Seconds()) {
+		for range m.poisson(rates[tier] * simulationStep.Seconds()) {
 			n.queue = append(n.queue, job{tier: tier, model: m.rng.IntN(m.models), arrived: m.now})
 		}
 	}
@@ -136,7 +137,7 @@
 	}
 }
 
-func (m *market) poisson(mean float64) int {
+func (m *simulation) poisson(mean float64) int {
 	n, p, limit := 0, m.rng.Float64(), math.Exp(-mean)
 	for p > limit {
 		n++
@@ -145,7 +146,7 @@
 	return n
 }
 
-func (m *market) needs(n *marketNode) []Need {
+func (m *simulation) needs(n *simulatedNode) []Need {
 	needs := make([]Need, m.models)
 	for i := range needs {
 		needs[i].Upstream = fmt.Sprint(i)
@@ -171,7 +172,7 @@
 	return needs
 }
 
-func (m *market) exchange(n *marketNode) {
+func (m *simulation) exchange(n *simulatedNode) {
 	if m.alone {
 		return
 	}
@@ -194,8 +195,9 @@
 	}
 }
 
-// begin starts what the allowances permit, on the replica with most room.
-func (m *market) begin(i int, n *marketNode) {
+// begin starts queued requests within the allowances, on the replica with the
+// most free slots.
+func (m *simulation) begin(i int, n *simulatedNode) {
 	if len(n.queue) == 0 {
 		return
 	}
@@ -224,7 +226,7 @@
 	})
 }
 
-func (m *market) allowances(n *marketNode) map[string]int {
+func (m *simulation) allowances(n *simulatedNode) map[string]int {
 	if m.alone {
 		all := make(map[string]int)
 		for _, name := range m.names {
@@ -239,7 +241,7 @@
 	return all
 }
 
-func (m *market) observe() {
+func (m *simulation) observe() {
 	m.steps++
 	for r := range m.names {
 		sum := 0
@@ -253,7 +255,7 @@
 	}
 }
 
-func (m *market) reset() {
+func (m *simulation) reset() {
 	m.started, m.busy, m.steps, m.over = 0, 0, 0, 0
 	m.waits = make(map[int][]float64)
 	for _, n := range m.members {
@@ -261,17 +263,17 @@
 	}
 }
 
-// figures is what a measurement shows.
+// figures are the results of a simulation.
 type figures struct {
 	bytesPerSecond, worst, callsPerSecond, bytesPerStart float64
-	// wait0 is tier 0's 99th percentile in seconds.
+	// wait0 is the 99th percentile of tier 0 waits; all waits are in seconds.
 	wait0, mean0, mean3 float64
-	// busy is the part of all slots in use, over the part of replica steps
-	// beyond the limit.
+	// busy is the fraction of slots in use; over is the fraction of replica steps
+	// above the limit.
 	busy, over float64
 }
 
-func (m *market) measure(warm, d time.Duration) figures {
+func (m *simulation) measure(warm, d time.Duration) figures {
 	m.run(warm)
 	m.reset()
 	m.run(d)
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -26,11 +26,11 @@
 // duties is a node's part in the work that one elected node does for the whole fleet.
 type duties struct {
 	node *Node
-	// time is the fleet-wide wall clock.
-	time   *fleettime.Clock
-	meter  *usage.Meter
-	counts *usage.Service
-	holder *duty.Holder
+	// fleetClock is the fleet-wide wall clock.
+	fleetClock   *fleettime.Clock
+	meter        *usage.Meter
+	usageService *usage.Service
+	holder       *duty.Holder
 	// random is used only by the holder's goroutine.
 	random *rand.Rand
 }
@@ -53,12 +53,12 @@
 		return nil
 	}
 	d := &duties{
-		node:   n,
-		time:   fleettime.New(n.options.Clock, time.Now),
-		random: rand.New(rand.NewPCG(n.options.Seed, 6)),
+		node:       n,
+		fleetClock: fleettime.New(n.options.Clock, time.Now),
+		random:     rand.New(rand.NewPCG(n.options.Seed, 6)),
 	}
-	d.meter = usage.NewMeter(s.UsageWindow.Std(), d.time.Now)
-	d.counts = usage.NewService(d.processID(), d.meter)
+	d.meter = usage.NewMeter(s.UsageWindow.Std(), d.fleetClock.Now)
+	d.usageService = usage.NewService(d.processID(), d.meter)
 	return d
 }
 
@@ -81,7 +81,7 @@
 	if d == nil {
 		return nil
 	}
-	return d.time
+	return d.fleetClock
 }
 
 // fence returns the fencing token of the duties, or 0 if this node does not hold them.
@@ -92,24 +92,24 @@
 	return d.holder.Fence()
 }
 
-// setUp creates the holder with its work and mounts the handler for other nodes' queries.
+// setUp creates the holder with its tasks and mounts the handler for other nodes' queries.
 func (d *duties) setUp() error {
 	if d == nil {
 		return nil
 	}
 	n, s := d.node, d.node.options.Settings.PassThrough.Duties
-	n.peers.Mount(d.counts.Handler())
-	var works []duty.Task
+	n.peers.Mount(d.usageService.Handler())
+	var tasks []duty.Task
 	if s.Has(settings.Metering) {
-		works = append(works, usage.NewReporter(usage.ReporterOptions{
+		tasks = append(tasks, usage.NewReporter(usage.ReporterOptions{
 			Store: n.options.Store, Platform: n.options.Duties,
-			Gather: usage.NewGatherer(d.counts, n.clients, d.meteringPeers).Gather,
+			Gather: usage.NewGatherer(d.usageService, n.clients, d.meteringPeers).Gather,
 			Length: s.UsageWindow.Std(), Delay: s.UsageDelay.Std(),
-			Now: d.time.Now, Clock: n.options.Clock, Log: n.log, Metrics: usage.NewMetrics(n.registry),
+			Now: d.fleetClock.Now, Clock: n.options.Clock, Log: n.log, Metrics: usage.NewMetrics(n.registry),
 		}))
 	}
 	if s.Has(settings.Autoscale) {
-		works = append(works, autoscale.New(autoscale.Options{
+		tasks = append(tasks, autoscale.New(autoscale.Options{
 			Store: n.options.Store, Platform: n.options.Duties, Observe: d.observe,
 			FirstStart: n.options.Settings.PassThrough.FirstStart,
 			Clock:      n.options.Clock, Log: n.log, Metrics: autoscale.NewMetrics(n.registry),
@@ -117,7 +117,7 @@
 	}
 	holder, err := duty.NewHolder(duty.Options{
 		Store: n.options.Store, Key: dutiesKey, Node: n.options.Settings.Name, Process: d.processID(),
-		TTL: s.Lease.Std(), Contends: d.shouldContend, Tasks: works,
+		TTL: s.Lease.Std(), Contends: d.shouldContend, Tasks: tasks,
 		Clock: n.options.Clock, Rand: rand.New(rand.NewPCG(n.options.Seed, 7)), Log: n.log, Registry: n.registry,
 	})
 	d.holder = holder
@@ -155,9 +155,9 @@
 // delay the report needlessly.
 func (d *duties) meteringPeers() []string {
 	s := d.node.options.Settings.PassThrough
-	counts := s.RevokeAfter.Std() + s.Duties.UsageWindow.Std() + gatherMargin
+	maxSilence := s.RevokeAfter.Std() + s.Duties.UsageWindow.Std() + gatherMargin
 	var addresses []string
-	for _, node := range d.node.nodes.SeenWithin(counts, d.node.options.Clock()) {
+	for _, node := range d.node.nodes.SeenWithin(maxSilence, d.node.options.Clock()) {
 		addresses = append(addresses, node.PeerAddress)
 	}
 	return addresses
