--- a/internal/duty/lock.go
+++ b/internal/duty/lock.go
@@ -65,7 +65,7 @@
 	grantedAt := l.clock()
 	value, err := json.Marshal(holderRecord{Holder: holder, Lease: id})
 	if err != nil {
-		return platform.Lease{}, fmt.Errorf("record of %s: %w", name, err)
+		return platform.Lease{}, fmt.Errorf("encode holder record of %s: %w", name, err)
 	}
 	// If the answer to an earlier commit was lost, this one replaces that grant.
 	epoch, err := l.store.Commit(ctx, platform.Transaction{
@@ -96,7 +96,7 @@
 	}
 	var record holderRecord
 	if err := json.Unmarshal(entry.Value, &record); err != nil {
-		return platform.Lease{}, fmt.Errorf("record of %s: %w", name, err)
+		return platform.Lease{}, fmt.Errorf("decode holder record of %s: %w", name, err)
 	}
 	return platform.Lease{Name: name, Holder: record.Holder, Epoch: entry.Revision}, nil
 }
