--- a/internal/autoscale/events.go
+++ b/internal/autoscale/events.go
@@ -2,7 +2,7 @@
 
 import "galenatrestle/internal/eventlog"
 
-// orderSent logs an order and the inputs to the decision.
+// orderSent is the log event for an order, with the inputs to the decision.
 type orderSent struct {
 	order    Order
 	wanted   float64
--- a/internal/autoscale/metrics.go
+++ b/internal/autoscale/metrics.go
@@ -22,7 +22,7 @@
 	return m
 }
 
-func (m *Metrics) ordered(o Order, err error) {
+func (m *Metrics) countOrder(o Order, err error) {
 	result := "ok"
 	if err != nil {
 		result = "failed"
--- a/internal/autoscale/orders_test.go
+++ b/internal/autoscale/orders_test.go
@@ -33,27 +33,27 @@
 }
 
 func TestOnDemandReplicasStayUntilReplaced(t *testing.T) {
-	b := NewOrders()
+	orders := NewOrders()
 	now := boottime.Instant(time.Hour)
 	o := observed(zone("a", 30, 0))
-	due := b.Due(now, o, mixOf(1, 45))
+	due := orders.Due(now, o, mixOf(1, 45))
 	if replicasOf(due, Reclaimable) != 45 || replicasOf(due, OnDemand) != -1 {
 		t.Fatalf("ordered %v, want 45 reclaimable replicas and none removed", due)
 	}
-	b.RecordSent(now, due[0], 0)
+	orders.RecordSent(now, due[0], 0)
 	now = now.Add(time.Second)
-	if due := b.Due(now, o, mixOf(1, 45)); len(due) != 0 {
-		t.Errorf("ordered again after a second: %v", due)
+	if due := orders.Due(now, o, mixOf(1, 45)); len(due) != 0 {
+		t.Errorf("ordered %v a second later, want none before the boot time has passed", due)
 	}
 	// The maximum of 60 for the zone leaves room for 30 of the 45.
 	now = now.Add(3 * time.Second)
 	o = observed(zone("a", 30, 30))
-	due = b.Due(now, o, mixOf(1, 45))
+	due = orders.Due(now, o, mixOf(1, 45))
 	if replicasOf(due, OnDemand) != 1 {
 		t.Fatalf("ordered %v, want the on-demand replicas removed: the zone is full", due)
 	}
-	b.RecordSent(now, due[0], 30)
-	if due := b.Due(now.Add(time.Second), observed(zone("a", 1, 30)), mixOf(1, 45)); replicasOf(due, Reclaimable) != 45 {
+	orders.RecordSent(now, due[0], 30)
+	if due := orders.Due(now.Add(time.Second), observed(zone("a", 1, 30)), mixOf(1, 45)); replicasOf(due, Reclaimable) != 45 {
 		t.Errorf("ordered %v, want the remaining reclaimable replicas", due)
 	}
 }
@@ -62,54 +62,54 @@
 	o := observed(zone("a", 30, 60))
 	o.Age = maxObservationAge + time.Second
 	if due := NewOrders().Due(boottime.Instant(time.Hour), o, mixOf(1, 30)); len(due) != 0 {
-		t.Errorf("ordered %v", due)
+		t.Errorf("ordered %v from a stale observation, want none", due)
 	}
 }
 
 func TestOrderWithoutEffectIsRepeated(t *testing.T) {
-	b := NewOrders()
+	orders := NewOrders()
 	now := boottime.Instant(time.Hour)
 	order := Order{Pool: Pool{Upstream: "model", AvailabilityZone: "a", Kind: Reclaimable}, Replicas: 45}
-	b.RecordSent(now, order, 0)
+	orders.RecordSent(now, order, 0)
 	o := observed(zone("a", 1, 20))
 	within := now.Add(o.Scaling.Boot + registrationDelay - time.Second)
-	if due := b.Due(within, o, mixOf(1, 45)); replicasOf(due, Reclaimable) != -1 {
+	if due := orders.Due(within, o, mixOf(1, 45)); replicasOf(due, Reclaimable) != -1 {
 		t.Errorf("ordered %v before the effect could show", due)
 	}
-	if due := b.Due(within.Add(time.Second), o, mixOf(1, 45)); replicasOf(due, Reclaimable) != 45 {
+	if due := orders.Due(within.Add(time.Second), o, mixOf(1, 45)); replicasOf(due, Reclaimable) != 45 {
 		t.Errorf("ordered %v, want the order again", due)
 	}
 }
 
 func TestExhaustedZoneBacksOff(t *testing.T) {
-	b := NewOrders()
+	orders := NewOrders()
 	now := boottime.Instant(time.Hour)
 	o := observed(zone("a", 0, 0), zone("b", 0, 30), zone("c", 0, 30))
 	pool := Pool{Upstream: "model", AvailabilityZone: "a", Kind: Reclaimable}
-	b.RecordRefused(now, Order{Pool: pool, Replicas: 30})
-	if dry := b.ExhaustedZones(now.Add(exhaustedBackoff/2), o); !dry["a"] || dry["b"] {
-		t.Errorf("exhausted zones are %v, want a", dry)
+	orders.RecordRefused(now, Order{Pool: pool, Replicas: 30})
+	if exhausted := orders.ExhaustedZones(now.Add(exhaustedBackoff/2), o); !exhausted["a"] || exhausted["b"] {
+		t.Errorf("exhausted zones are %v, want a", exhausted)
 	}
-	if dry := b.ExhaustedZones(now.Add(exhaustedBackoff), o); len(dry) != 0 {
-		t.Errorf("exhausted zones are %v, want none", dry)
+	if exhausted := orders.ExhaustedZones(now.Add(exhaustedBackoff), o); len(exhausted) != 0 {
+		t.Errorf("exhausted zones are %v, want none", exhausted)
 	}
 }
 
 // TestExhaustedZoneKeepsReplicas guards against removing the remaining replicas of a zone
 // that refused to replace crashed ones.
 func TestExhaustedZoneKeepsReplicas(t *testing.T) {
-	for _, dryZones := range [][]string{{"a"}, {"a", "b", "c"}} {
-		b := NewOrders()
+	for _, exhausted := range [][]string{{"a"}, {"a", "b", "c"}} {
+		orders := NewOrders()
 		now := boottime.Instant(time.Hour)
 		o := observed(zone("a", 1, 40), zone("b", 1, 44), zone("c", 1, 44))
-		for _, name := range dryZones {
+		for _, name := range exhausted {
 			pool := Pool{Upstream: "model", AvailabilityZone: name, Kind: Reclaimable}
-			b.RecordRefused(now, Order{Pool: pool, Replicas: 44})
+			orders.RecordRefused(now, Order{Pool: pool, Replicas: 44})
 		}
-		mix := portfolio(60, &o.Scaling, o.zoneNames(), b.ExhaustedZones(now, o))
-		for _, order := range b.Due(now, o, mix) {
+		mix := wantedMix(60, &o.Scaling, o.zoneNames(), orders.ExhaustedZones(now, o))
+		for _, order := range orders.Due(now, o, mix) {
 			if order.Kind == Reclaimable && order.Replicas < o.readyIn(order.Pool) {
-				t.Errorf("exhausted %v: %d of %d replicas are left in %s", dryZones, order.Replicas, o.readyIn(order.Pool), order.AvailabilityZone)
+				t.Errorf("exhausted %v: %d of %d replicas are left in %s", exhausted, order.Replicas, o.readyIn(order.Pool), order.AvailabilityZone)
 			}
 		}
 	}
@@ -118,12 +118,12 @@
 // TestOnDemandReplicasStayWithoutReclaimableCapacity guards against removing on-demand
 // replicas from a zone that refused their reclaimable replacements.
 func TestOnDemandReplicasStayWithoutReclaimableCapacity(t *testing.T) {
-	b := NewOrders()
+	orders := NewOrders()
 	now := boottime.Instant(time.Hour)
 	o := observed(zone("a", 30, 0), zone("b", 30, 30), zone("c", 30, 30))
-	b.RecordRefused(now, Order{Pool: Pool{Upstream: "model", AvailabilityZone: "a", Kind: Reclaimable}, Replicas: 44})
-	mix := portfolio(90, &o.Scaling, o.zoneNames(), b.ExhaustedZones(now, o))
-	for _, order := range b.Due(now, o, mix) {
+	orders.RecordRefused(now, Order{Pool: Pool{Upstream: "model", AvailabilityZone: "a", Kind: Reclaimable}, Replicas: 44})
+	mix := wantedMix(90, &o.Scaling, o.zoneNames(), orders.ExhaustedZones(now, o))
+	for _, order := range orders.Due(now, o, mix) {
 		if order.AvailabilityZone == "a" && order.Replicas < 30 {
 			t.Errorf("%d of 30 replicas are left in a zone without reclaimable capacity", order.Replicas)
 		}
@@ -133,18 +133,18 @@
 // TestFluctuatingLoadCausesFewOrders guards against frequent scaling under a fluctuating
 // load, as each removed replica loses its cached prompts.
 func TestFluctuatingLoadCausesFewOrders(t *testing.T) {
-	b := NewOrders()
+	orders := NewOrders()
 	now := boottime.Instant(time.Hour)
 	o := observed(zone("a", 20, 0), zone("b", 20, 0), zone("c", 20, 0))
-	wanted, orders := 60.0, 0
+	wanted, sent := 60.0, 0
 	for tick := range 600 {
 		now = now.Add(reconcileInterval)
 		o.Busy = 200 + 150*(tick/20%2)
-		wanted = capacity(wanted, o, reconcileInterval)
-		mix := portfolio(wanted, &o.Scaling, o.zoneNames(), nil)
-		for _, order := range b.Due(now, o, mix) {
-			orders++
-			b.RecordSent(now, order, o.readyIn(order.Pool))
+		wanted = nextCapacity(wanted, o, reconcileInterval)
+		mix := wantedMix(wanted, &o.Scaling, o.zoneNames(), nil)
+		for _, order := range orders.Due(now, o, mix) {
+			sent++
+			orders.RecordSent(now, order, o.readyIn(order.Pool))
 			for i := range o.Zones {
 				if o.Zones[i].Name == order.AvailabilityZone {
 					o.Zones[i].Ready[order.Kind] = order.Replicas
@@ -152,7 +152,7 @@
 			}
 		}
 	}
-	if most := 5 * 30; orders > most {
-		t.Errorf("%d orders in five minutes, want %d at most", orders, most)
+	if maxOrders := 5 * 30; sent > maxOrders {
+		t.Errorf("%d orders in five minutes, want %d at most", sent, maxOrders)
 	}
 }
--- a/internal/autoscale/scaler.go
+++ b/internal/autoscale/scaler.go
@@ -30,11 +30,11 @@
 type Options struct {
 	Store    duty.Store
 	Platform Platform
-	// Observe returns the upstreams that may be scaled. It returns none until enough is
-	// known about their replicas.
+	// Observe returns the upstreams that may be scaled. It returns none until the
+	// routes and the first listing of replicas are available.
 	Observe func() []Observation
-	// FirstStart is set when the whole system starts for the first time, so that no
-	// replicas from its earlier orders exist.
+	// FirstStart is set when the fleet starts for the first time, so that no replicas from
+	// earlier orders exist.
 	FirstStart bool
 	Clock      boottime.Clock
 	Log        *eventlog.Log
@@ -49,9 +49,9 @@
 
 // Run implements duty.Work.
 func (s *Scaler) Run(ctx context.Context, term duty.Term) {
-	session := &session{options: s.options, term: term, orders: NewOrders(), registrations: make(map[string]*registrations)}
-	for ctx.Err() == nil && !session.fenced {
-		session.reconcile(ctx)
+	current := &session{options: s.options, term: term, orders: NewOrders(), registrations: make(map[string]*registrationTracker)}
+	for ctx.Err() == nil && !current.fenced {
+		current.reconcile(ctx)
 		if ctxtime.Sleep(ctx, reconcileInterval) != nil {
 			return
 		}
@@ -63,8 +63,8 @@
 	options Options
 	term    duty.Term
 	orders  *Orders
-	// registrations is keyed by upstream, for those without a wanted capacity.
-	registrations map[string]*registrations
+	// registrations holds a tracker by upstream, for those without a wanted capacity.
+	registrations map[string]*registrationTracker
 	// record is nil until it is read; revision is the revision of its key.
 	record   *Record
 	revision int64
@@ -81,16 +81,16 @@
 		return
 	}
 	now := s.options.Clock()
-	passed := now.Sub(s.reconciledAt)
+	elapsed := now.Sub(s.reconciledAt)
 	if s.reconciledAt == 0 {
-		passed = 0
+		elapsed = 0
 	}
 	s.reconciledAt = now
 	for _, o := range s.options.Observe() {
-		wanted, known := s.want(now, &o, passed)
+		wanted, known := s.updateWanted(now, &o, elapsed)
 		switch {
 		case known:
-			s.order(ctx, now, &o, wanted)
+			s.sendDue(ctx, now, &o, wanted)
 		case s.options.FirstStart:
 			s.orderEarly(ctx, now, &o)
 		}
@@ -98,32 +98,32 @@
 	s.save(ctx)
 }
 
-// want updates and returns the wanted capacity of the upstream. It is unknown until the
+// updateWanted updates and returns the wanted capacity of the upstream. It is unknown until the
 // registrations at fleet start are stable: an earlier order would remove replicas that have
 // not registered yet.
-func (s *session) want(now boottime.Instant, o *Observation, passed time.Duration) (wanted float64, known bool) {
-	before, known := s.record.Capacity[o.Upstream]
+func (s *session) updateWanted(now boottime.Instant, o *Observation, elapsed time.Duration) (wanted float64, known bool) {
+	previous, known := s.record.Capacity[o.Upstream]
 	if !known {
-		if before, known = s.registrationsOf(o.Upstream).stableCapacity(now, o); !known {
+		if previous, known = s.trackerFor(o.Upstream).stableCapacity(now, o); !known {
 			return 0, false
 		}
 	}
-	wanted = capacity(before, o, passed)
+	wanted = nextCapacity(previous, o, elapsed)
 	s.record.Capacity[o.Upstream] = wanted
 	return wanted, true
 }
 
-func (s *session) registrationsOf(upstream string) *registrations {
-	a, ok := s.registrations[upstream]
+func (s *session) trackerFor(upstream string) *registrationTracker {
+	tracker, ok := s.registrations[upstream]
 	if !ok {
-		a = &registrations{}
-		s.registrations[upstream] = a
+		tracker = &registrationTracker{}
+		s.registrations[upstream] = tracker
 	}
-	return a
+	return tracker
 }
 
-func (s *session) order(ctx context.Context, now boottime.Instant, o *Observation, wanted float64) {
-	mix := portfolio(wanted, &o.Scaling, o.zoneNames(), s.orders.ExhaustedZones(now, o))
+func (s *session) sendDue(ctx context.Context, now boottime.Instant, o *Observation, wanted float64) {
+	mix := wantedMix(wanted, &o.Scaling, o.zoneNames(), s.orders.ExhaustedZones(now, o))
 	s.send(ctx, now, o, wanted, s.orders.Due(now, o, mix))
 }
 
@@ -131,15 +131,17 @@
 // they are ready for the first requests. This is safe at the first start only, when no
 // reclaimable replicas were ordered before; later orders only raise the number.
 func (s *session) orderEarly(ctx context.Context, now boottime.Instant, o *Observation) {
-	seen := float64(o.ready(OnDemand))
-	if seen == 0 {
+	registered := float64(o.ready(OnDemand))
+	if registered == 0 {
 		return
 	}
-	mix := portfolio(seen, &o.Scaling, o.zoneNames(), s.orders.ExhaustedZones(now, o))
-	s.send(ctx, now, o, seen, s.orders.More(o, mix))
+	mix := wantedMix(registered, &o.Scaling, o.zoneNames(), s.orders.ExhaustedZones(now, o))
+	s.send(ctx, now, o, registered, s.orders.More(o, mix))
 }
 
-// send sends the orders until the lease is lost or a later holder is detected.
+// send sends the orders until the lease is lost or a later holder is detected. A conflict
+// on reclaimable replicas is taken as lack of capacity, one on on-demand replicas as an
+// order by a later holder.
 func (s *session) send(ctx context.Context, now boottime.Instant, o *Observation, wanted float64, due []Order) {
 	for _, order := range due {
 		if !s.term.Held() || s.fenced {
@@ -147,7 +149,7 @@
 		}
 		s.orders.RecordSent(now, order, o.readyIn(order.Pool))
 		err := s.options.Platform.Order(ctx, s.term, order)
-		s.options.Metrics.ordered(order, err)
+		s.options.Metrics.countOrder(order, err)
 		s.options.Log.Write(&orderSent{order: order, wanted: wanted, observed: o, fence: s.term.Fence, err: err})
 		switch {
 		case !errors.Is(err, platform.ErrConflict):
@@ -166,13 +168,13 @@
 	defer cancel()
 	entry, err := s.options.Store.Get(limited, recordKey)
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
-		s.options.Log.Error("read wanted replicas", err)
+		s.options.Log.Error("read wanted capacity", err)
 		return false
 	}
 	record := &Record{}
 	if err == nil {
 		if err := json.Unmarshal(entry.Value, record); err != nil {
-			s.options.Log.Error("decode wanted replicas", fmt.Errorf("record of revision %d is replaced: %w", entry.Revision, err))
+			s.options.Log.Error("decode wanted capacity", fmt.Errorf("ignoring malformed record at revision %d: %w", entry.Revision, err))
 			record = &Record{}
 		}
 	}
@@ -191,7 +193,7 @@
 	}
 	value, err := json.Marshal(s.record)
 	if err != nil {
-		s.options.Log.Error("encode wanted replicas", err)
+		s.options.Log.Error("encode wanted capacity", err)
 		return
 	}
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
@@ -202,7 +204,7 @@
 	})
 	if err != nil {
 		s.record = nil
-		s.options.Log.Error("write wanted replicas", err)
+		s.options.Log.Error("write wanted capacity", err)
 		return
 	}
 	s.revision, s.saved = revision, maps.Clone(s.record.Capacity)
--- a/internal/autoscale/scaler_test.go
+++ b/internal/autoscale/scaler_test.go
@@ -26,30 +26,30 @@
 	mu    sync.Mutex
 	zones map[string]map[Kind]int
 	// exhausted zones have no reclaimable capacity.
-	exhausted map[string]bool
-	least     int
-	orders    int
+	exhausted  map[string]bool
+	leastTotal int
+	orders     int
 }
 
 const bootTime = 4 * time.Second
 
 // Order implements Platform.
-func (c *fakePlatform) Order(_ context.Context, _ duty.Term, o Order) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.orders++
-	have := c.zones[o.AvailabilityZone]
-	if o.Kind == Reclaimable && o.Replicas > have[Reclaimable] && c.exhausted[o.AvailabilityZone] {
+func (p *fakePlatform) Order(_ context.Context, _ duty.Term, o Order) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.orders++
+	have := p.zones[o.AvailabilityZone]
+	if o.Kind == Reclaimable && o.Replicas > have[Reclaimable] && p.exhausted[o.AvailabilityZone] {
 		return fmt.Errorf("order: %w", platform.ErrConflict)
 	}
 	if o.Replicas < have[o.Kind] {
 		have[o.Kind] = o.Replicas
-		c.note()
+		p.updateLeast()
 		return nil
 	}
 	time.AfterFunc(bootTime, func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
+		p.mu.Lock()
+		defer p.mu.Unlock()
 		other := OnDemand
 		if o.Kind == OnDemand {
 			other = Reclaimable
@@ -59,25 +59,25 @@
 	return nil
 }
 
-// note updates the lowest total replica count. c.mu must be held.
-func (c *fakePlatform) note() {
+// updateLeast updates the lowest total replica count. p.mu must be held.
+func (p *fakePlatform) updateLeast() {
 	all := 0
-	for _, kinds := range c.zones {
+	for _, kinds := range p.zones {
 		all += kinds[OnDemand] + kinds[Reclaimable]
 	}
-	c.least = min(c.least, all)
+	p.leastTotal = min(p.leastTotal, all)
 }
 
-// observation returns the platform state with only the given fraction of each pool registered.
-func (c *fakePlatform) observation(part float64, busy int) Observation {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// observation returns the platform state with the given fraction of each pool registered.
+func (p *fakePlatform) observation(fraction float64, busy int) Observation {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	o := Observation{Upstream: "model", Scaling: *scaling(0.2), Slots: 16, Busy: busy}
 	o.Scaling.Boot = bootTime
 	for _, name := range o.Scaling.Zones() {
 		z := Zone{Name: name, Ready: map[Kind]int{}}
-		for kind, n := range c.zones[name] {
-			z.Ready[kind] = int(part * float64(n))
+		for kind, n := range p.zones[name] {
+			z.Ready[kind] = int(fraction * float64(n))
 		}
 		o.Zones = append(o.Zones, z)
 	}
@@ -85,32 +85,32 @@
 }
 
 // reclaim removes the zone's reclaimable replicas and refuses new ones until restore is called.
-func (c *fakePlatform) reclaim(zone string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.zones[zone][Reclaimable] = 0
-	c.exhausted[zone] = true
+func (p *fakePlatform) reclaim(zone string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.zones[zone][Reclaimable] = 0
+	p.exhausted[zone] = true
 }
 
-func (c *fakePlatform) restore(zone string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.exhausted[zone] = false
+func (p *fakePlatform) restore(zone string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.exhausted[zone] = false
 }
 
-// now returns a copy of the replica counts by zone.
-func (c *fakePlatform) now() map[string]map[Kind]int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	zones := make(map[string]map[Kind]int, len(c.zones))
-	for name, kinds := range c.zones {
+// replicaCounts returns a copy of the replica counts by zone.
+func (p *fakePlatform) replicaCounts() map[string]map[Kind]int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	zones := make(map[string]map[Kind]int, len(p.zones))
+	for name, kinds := range p.zones {
 		zones[name] = maps.Clone(kinds)
 	}
 	return zones
 }
 
-func newCloud(each int) *fakePlatform {
-	c := &fakePlatform{zones: make(map[string]map[Kind]int), exhausted: make(map[string]bool), least: 3 * each}
+func newFakePlatform(each int) *fakePlatform {
+	c := &fakePlatform{zones: make(map[string]map[Kind]int), exhausted: make(map[string]bool), leastTotal: 3 * each}
 	for _, name := range []string{"a", "b", "c"} {
 		c.zones[name] = map[Kind]int{OnDemand: each}
 	}
@@ -118,23 +118,23 @@
 }
 
 // runScaler runs a scaler for span. observe is called with the time since its start.
-func runScaler(t *testing.T, c *fakePlatform, store duty.Store, span time.Duration, observe func(time.Duration) []Observation) {
+func runScaler(t *testing.T, p *fakePlatform, store duty.Store, duration time.Duration, observe func(time.Duration) []Observation) {
 	t.Helper()
-	runScalerAtStart(t, c, store, span, false, observe)
+	runScalerAtStart(t, p, store, duration, false, observe)
 }
 
 // runScalerAtStart is runScaler with Options.FirstStart set to first.
-func runScalerAtStart(t *testing.T, c *fakePlatform, store duty.Store, span time.Duration, first bool, observe func(time.Duration) []Observation) {
+func runScalerAtStart(t *testing.T, p *fakePlatform, store duty.Store, duration time.Duration, first bool, observe func(time.Duration) []Observation) {
 	t.Helper()
 	began := time.Now()
 	s := New(Options{
-		Store: store, Platform: c, FirstStart: first,
+		Store: store, Platform: p, FirstStart: first,
 		Observe: func() []Observation { return observe(time.Since(began)) },
 		Clock:   func() boottime.Instant { return boottime.Instant(time.Since(began)) + 1 },
 		Log:     eventlog.New(io.Discard, "vm-1"),
 		Metrics: NewMetrics(prometheus.NewRegistry()),
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), span)
+	ctx, cancel := context.WithTimeout(t.Context(), duration)
 	defer cancel()
 	s.Run(ctx, duty.Term{Holder: "vm-1", Fence: 1, Key: "holder", Held: func() bool { return true }})
 	if err := ctxtime.Sleep(t.Context(), bootTime); err != nil {
@@ -156,15 +156,15 @@
 func TestUnregisteredReplicasAreNotRemoved(t *testing.T) {
 	for _, firstAfter := range []time.Duration{0, time.Second, 5 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			c := newCloud(30)
-			runScalerAtStart(t, c, newHolderStore(t), 40*time.Second, firstAfter > 0, func(passed time.Duration) []Observation {
-				part := float64(passed-firstAfter) / float64(3*time.Second)
-				return []Observation{c.observation(min(max(part, 0), 1), 0)}
+			p := newFakePlatform(30)
+			runScalerAtStart(t, p, newHolderStore(t), 40*time.Second, firstAfter > 0, func(passed time.Duration) []Observation {
+				fraction := float64(passed-firstAfter) / float64(3*time.Second)
+				return []Observation{p.observation(min(max(fraction, 0), 1), 0)}
 			})
-			if c.least < 90 {
-				t.Errorf("first seen after %s: %d replicas were left of 90", firstAfter, c.least)
+			if p.leastTotal < 90 {
+				t.Errorf("first seen after %s: %d replicas were left of 90", firstAfter, p.leastTotal)
 			}
-			for zone, kinds := range c.now() {
+			for zone, kinds := range p.replicaCounts() {
 				if kinds[OnDemand] != 1 || kinds[Reclaimable] < 44 {
 					t.Errorf("first seen after %s: zone %s ends with %v, want the on-demand replicas replaced", firstAfter, zone, kinds)
 				}
@@ -177,19 +177,19 @@
 // after a zone lost its reclaimable replicas.
 func TestNextHolderResumesWantedCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCloud(30)
+		p := newFakePlatform(30)
 		store := newHolderStore(t)
-		all := func(time.Duration) []Observation { return []Observation{c.observation(1, 0)} }
-		runScaler(t, c, store, 30*time.Second, all)
-		before := c.now()["a"][Reclaimable]
-		c.reclaim("b")
-		runScaler(t, c, store, 10*time.Second, all)
-		if got := c.now()["a"][Reclaimable]; got < before {
+		all := func(time.Duration) []Observation { return []Observation{p.observation(1, 0)} }
+		runScaler(t, p, store, 30*time.Second, all)
+		before := p.replicaCounts()["a"][Reclaimable]
+		p.reclaim("b")
+		runScaler(t, p, store, 10*time.Second, all)
+		if got := p.replicaCounts()["a"][Reclaimable]; got < before {
 			t.Errorf("%d reclaimable replicas in a zone that lost none, want the %d of before", got, before)
 		}
-		c.restore("b")
-		runScaler(t, c, store, 10*time.Second, all)
-		if got := c.now()["b"][Reclaimable]; got < before-5 {
+		p.restore("b")
+		runScaler(t, p, store, 10*time.Second, all)
+		if got := p.replicaCounts()["b"][Reclaimable]; got < before-5 {
 			t.Errorf("%d reclaimable replicas are back in the zone that lost them, want about %d", got, before)
 		}
 	})
@@ -199,12 +199,12 @@
 // for the first requests, which come about ten seconds after the nodes.
 func TestFirstStartOrdersReclaimableEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCloud(30)
-		runScalerAtStart(t, c, newHolderStore(t), 4*time.Second, true, func(passed time.Duration) []Observation {
-			part := float64(passed) / float64(3*time.Second)
-			return []Observation{c.observation(min(part, 1), 0)}
+		p := newFakePlatform(30)
+		runScalerAtStart(t, p, newHolderStore(t), 4*time.Second, true, func(passed time.Duration) []Observation {
+			fraction := float64(passed) / float64(3*time.Second)
+			return []Observation{p.observation(min(fraction, 1), 0)}
 		})
-		for zone, kinds := range c.now() {
+		for zone, kinds := range p.replicaCounts() {
 			if kinds[Reclaimable] < 25 {
 				t.Errorf("zone %s: %v eight seconds after the start", zone, kinds)
 			}
@@ -214,26 +214,26 @@
 
 func TestStaleObservationIsNotStable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCloud(30)
-		runScaler(t, c, newHolderStore(t), 20*time.Second, func(time.Duration) []Observation {
-			o := c.observation(0.1, 0)
+		p := newFakePlatform(30)
+		runScaler(t, p, newHolderStore(t), 20*time.Second, func(time.Duration) []Observation {
+			o := p.observation(0.1, 0)
 			o.Age = maxObservationAge + time.Second
 			return []Observation{o}
 		})
-		if c.orders != 0 {
-			t.Errorf("%d orders from an observation of age %s", c.orders, maxObservationAge+time.Second)
+		if p.orders != 0 {
+			t.Errorf("%d orders from an observation of age %s", p.orders, maxObservationAge+time.Second)
 		}
 	})
 }
 
 func TestUnavailableStoreOrdersNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCloud(30)
+		p := newFakePlatform(30)
 		store := dutytest.NewStore(1)
 		store.SetFaults(dutytest.StoreFaults{Down: true})
-		runScaler(t, c, store, 20*time.Second, func(time.Duration) []Observation { return []Observation{c.observation(1, 0)} })
-		if c.orders != 0 {
-			t.Errorf("%d orders", c.orders)
+		runScaler(t, p, store, 20*time.Second, func(time.Duration) []Observation { return []Observation{p.observation(1, 0)} })
+		if p.orders != 0 {
+			t.Errorf("%d orders while the store is unavailable, want none", p.orders)
 		}
 		if _, err := store.Get(t.Context(), "holder"); !errors.Is(err, platform.ErrUnavailable) {
 			t.Error(err)
--- a/internal/order/discipline.go
+++ b/internal/order/discipline.go
@@ -34,12 +34,12 @@
 }
 
 // Check returns an error if the times can't keep two holders apart.
-func (d LeaseTiming) Check() error {
-	if d.LeaseTTL <= 0 || d.LongestOrder <= 0 || d.DetectPause <= 0 {
-		return fmt.Errorf("order: lease of %s, longest order of %s and pause of %s must be above zero", d.LeaseTTL, d.LongestOrder, d.DetectPause)
+func (t LeaseTiming) Check() error {
+	if t.LeaseTTL <= 0 || t.LongestOrder <= 0 || t.DetectPause <= 0 {
+		return fmt.Errorf("order: lease of %s, longest order of %s and pause of %s must be above zero", t.LeaseTTL, t.LongestOrder, t.DetectPause)
 	}
-	if d.StopMargin < d.ClockError || d.StopMargin >= d.LeaseTTL {
-		return fmt.Errorf("order: stop margin %s must be at least the clock error %s and below the lease %s", d.StopMargin, d.ClockError, d.LeaseTTL)
+	if t.StopMargin < t.ClockError || t.StopMargin >= t.LeaseTTL {
+		return fmt.Errorf("order: stop margin %s must be at least the clock error %s and below the lease %s", t.StopMargin, t.ClockError, t.LeaseTTL)
 	}
 	return nil
 }
@@ -47,6 +47,6 @@
 // handOverWait returns how long a new holder waits before its first order to an engine that
 // ignores fencing. The platform may have ended the old lease early, so its full duration
 // is counted from the new grant.
-func (d LeaseTiming) handOverWait() time.Duration {
-	return d.LeaseTTL + d.ClockError + d.LongestOrder
+func (t LeaseTiming) handOverWait() time.Duration {
+	return t.LeaseTTL + t.ClockError + t.LongestOrder
 }
--- a/internal/order/errors.go
+++ b/internal/order/errors.go
@@ -28,13 +28,13 @@
 // Error implements error.
 func (e *HoldError) Error() string {
 	if e.For == 0 {
-		return "order: held back: " + string(e.Reason)
+		return "order: not sent: " + string(e.Reason)
 	}
-	return fmt.Sprintf("order: held back: %s for %s", e.Reason, e.For)
+	return fmt.Sprintf("order: not sent: %s for %s", e.Reason, e.For)
 }
 
 // ErrNoOrders reports that the engine does not support orders or reading their state.
-var ErrNoOrders = errors.New("order: the engine takes no orders")
+var ErrNoOrders = errors.New("order: engine does not support orders")
 
 // ErrFenced reports that the engine has seen a higher epoch.
-var ErrFenced = errors.New("order: refused by the engine: its epoch is higher")
+var ErrFenced = errors.New("order: rejected by the engine: it has seen a higher epoch")
--- a/internal/order/grant.go
+++ b/internal/order/grant.go
@@ -34,8 +34,8 @@
 
 // WithHeartbeat returns the grant after a heartbeat at now. A gap above DetectPause marks it
 // as paused.
-func (g Grant) WithHeartbeat(d LeaseTiming, now time.Time) Grant {
-	if now.Sub(g.LastHeartbeat) > d.DetectPause {
+func (g Grant) WithHeartbeat(timing LeaseTiming, now time.Time) Grant {
+	if now.Sub(g.LastHeartbeat) > timing.DetectPause {
 		g.Paused = true
 	}
 	g.LastHeartbeat = now
@@ -43,21 +43,21 @@
 }
 
 // Check returns nil if an order may be sent at now, else a *HoldError.
-func (g Grant) Check(d LeaseTiming, honoursFencing bool, now time.Time) error {
+func (g Grant) Check(timing LeaseTiming, honoursFencing bool, now time.Time) error {
 	if g.Epoch == 0 {
 		return &HoldError{Reason: ReasonNoLease}
 	}
-	end := g.Asked.Add(d.LeaseTTL - d.StopMargin)
+	end := g.Asked.Add(timing.LeaseTTL - timing.StopMargin)
 	if !now.Before(end) {
 		return &HoldError{Reason: ReasonLeaseEnding}
 	}
-	if g.Paused || now.Sub(g.LastHeartbeat) > d.DetectPause {
+	if g.Paused || now.Sub(g.LastHeartbeat) > timing.DetectPause {
 		return &HoldError{Reason: ReasonPaused}
 	}
 	if honoursFencing {
 		return nil
 	}
-	first := g.Since.Add(d.handOverWait())
+	first := g.Since.Add(timing.handOverWait())
 	if now.Before(first) {
 		return &HoldError{Reason: ReasonHandOver, For: first.Sub(now)}
 	}
--- a/internal/order/http.go
+++ b/internal/order/http.go
@@ -20,14 +20,14 @@
 // HTTPTransport sends orders over HTTP. Each order uses its own connection and checks the
 // guard before each write, so that no order is sent late after a process pause.
 type HTTPTransport struct {
-	dialer net.Dialer
-	reader *http.Client
+	dialer      net.Dialer
+	stateClient *http.Client
 }
 
 // NewHTTPTransport returns a transport.
 func NewHTTPTransport() *HTTPTransport {
 	t := &HTTPTransport{}
-	t.reader = &http.Client{Transport: &http.Transport{DialContext: t.dialer.DialContext, DisableKeepAlives: true}}
+	t.stateClient = &http.Client{Transport: &http.Transport{DialContext: t.dialer.DialContext, DisableKeepAlives: true}}
 	return t
 }
 
@@ -92,7 +92,7 @@
 	if err != nil {
 		return state, err
 	}
-	response, err := t.reader.Do(request)
+	response, err := t.stateClient.Do(request)
 	if err != nil {
 		return state, err
 	}
@@ -101,7 +101,7 @@
 		return state, ErrNoOrders
 	}
 	if response.StatusCode != http.StatusOK {
-		return state, fmt.Errorf("order: engine answered status %d to a read of its state", response.StatusCode)
+		return state, fmt.Errorf("order: engine answered GET /orders with status %d", response.StatusCode)
 	}
 	err = json.NewDecoder(io.LimitReader(response.Body, maxStateBytes)).Decode(&state)
 	return state, err
@@ -122,5 +122,5 @@
 	case status >= http.StatusOK && status < http.StatusMultipleChoices:
 		return nil
 	}
-	return fmt.Errorf("order: engine answered status %d", status)
+	return fmt.Errorf("order: engine answered POST /orders with status %d", status)
 }
--- a/internal/order/orderplan/actor.go
+++ b/internal/order/orderplan/actor.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return intent.Progress{}, err
 	}
-	done, err := a.sender.Reconcile(ctx, target, wanted(task))
+	done, err := a.sender.Reconcile(ctx, target, orderFor(task))
 	var hold *order.HoldError
 	if errors.As(err, &hold) {
 		return intent.Progress{Wait: string(hold.Reason)}, nil
@@ -44,7 +44,7 @@
 }
 
 // Undo implements intent.Actor. The engine's previous state is not known, so nothing is
-// reverted; the operator has to request the wanted state.
+// reverted; the operator has to submit another intent.
 func (a *Actor) Undo(context.Context, intent.Task) (intent.Progress, error) {
 	return intent.Progress{Done: true}, nil
 }
@@ -66,7 +66,7 @@
 	return order.Target{}, &intent.FatalError{Reason: fmt.Sprintf("replica %s of upstream %s is not configured any more", task.Step.Target, name)}
 }
 
-func wanted(task intent.Task) openai.Order {
+func orderFor(task intent.Task) openai.Order {
 	in := task.Plan.Intent
 	switch task.Step.Kind {
 	case intent.StepOrderRole:
--- a/internal/order/orderplan/actor_test.go
+++ b/internal/order/orderplan/actor_test.go
@@ -62,6 +62,6 @@
 	_, err := actor.Do(t.Context(), task(intent.StepOrderLoad, "r9", intent.Intent{Model: "m"}))
 	var fatal *intent.FatalError
 	if !errors.As(err, &fatal) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want a FatalError", err)
 	}
 }
--- a/internal/order/sender.go
+++ b/internal/order/sender.go
@@ -34,11 +34,11 @@
 // Sender moves the engines of one pool to their desired states while this process holds the
 // pool's lease. It is safe for concurrent use.
 type Sender struct {
-	transport  Transport
-	weights    platform.Weights
-	discipline LeaseTiming
-	metrics    *Metrics
-	now        func() time.Time
+	transport Transport
+	weights   platform.Weights
+	timing    LeaseTiming
+	metrics   *Metrics
+	now       func() time.Time
 
 	mu    sync.Mutex
 	grant Grant
@@ -46,11 +46,11 @@
 
 // NewSender returns a Sender without a grant. now must carry a monotonic clock reading, as
 // time.Now does.
-func NewSender(transport Transport, weights platform.Weights, d LeaseTiming, metrics *Metrics, now func() time.Time) (*Sender, error) {
-	if err := d.Check(); err != nil {
+func NewSender(transport Transport, weights platform.Weights, leaseTiming LeaseTiming, metrics *Metrics, now func() time.Time) (*Sender, error) {
+	if err := leaseTiming.Check(); err != nil {
 		return nil, err
 	}
-	return &Sender{transport: transport, weights: weights, discipline: d, metrics: metrics, now: now}, nil
+	return &Sender{transport: transport, weights: weights, timing: leaseTiming, metrics: metrics, now: now}, nil
 }
 
 // Renewed records an acquire or renewal of the pool's lease that was sent at asked.
@@ -72,18 +72,18 @@
 func (s *Sender) Beat() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.grant = s.grant.WithHeartbeat(s.discipline, s.now())
+	s.grant = s.grant.WithHeartbeat(s.timing, s.now())
 }
 
 // Reconcile sends the order unless the engine already reports its desired state, and reports
 // whether the engine is in that state afterwards. It sets the epoch of the order. It returns
 // a *HoldError if an order was needed but could not be sent.
 func (s *Sender) Reconcile(ctx context.Context, target Target, order openai.Order) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.discipline.LongestOrder)
+	ctx, cancel := context.WithTimeout(ctx, s.timing.LongestOrder)
 	defer cancel()
 	state, err := s.transport.State(ctx, target)
 	if err != nil {
-		return false, errs.Wrap(errs.Upstream, err, "read back", target.Address)
+		return false, errs.Wrap(errs.Upstream, err, "read state", target.Address)
 	}
 	if reached(state, order) {
 		return true, nil
@@ -93,7 +93,7 @@
 	}
 	state, err = s.transport.State(ctx, target)
 	if err != nil {
-		return false, errs.Wrap(errs.Upstream, err, "read back", target.Address)
+		return false, errs.Wrap(errs.Upstream, err, "read state", target.Address)
 	}
 	return reached(state, order), nil
 }
@@ -122,13 +122,13 @@
 	return errs.Wrap(errs.Upstream, err, "send order", target.Address)
 }
 
-// check returns the epoch of the grant, and an error unless an order may be sent now. If want
-// is not zero, the grant must have that epoch.
-func (s *Sender) check(target Target, want int64) (int64, error) {
+// check returns the epoch of the grant, and an error unless an order may be sent now. If
+// wantEpoch is not zero, the grant must have that epoch.
+func (s *Sender) check(target Target, wantEpoch int64) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	err := s.grant.Check(s.discipline, target.HonoursFencing, s.now())
-	if err == nil && want != 0 && want != s.grant.Epoch {
+	err := s.grant.Check(s.timing, target.HonoursFencing, s.now())
+	if err == nil && wantEpoch != 0 && wantEpoch != s.grant.Epoch {
 		err = &HoldError{Reason: ReasonNoLease}
 	}
 	s.metrics.countHold(err)
--- a/internal/order/sender_test.go
+++ b/internal/order/sender_test.go
@@ -25,23 +25,23 @@
 	state   openai.OrderState
 }
 
-// network delivers orders to one engine with a delay of flight, even if the sender has
+// fakeTransport delivers orders to one engine after latency, even if the sender has
 // already timed out.
-type network struct {
-	engine *fakeEngine
-	flight time.Duration
-	// paused, if set, is called before the guard.
-	paused func()
+type fakeTransport struct {
+	engine  *fakeEngine
+	latency time.Duration
+	// beforeGuard, if set, is called before the guard.
+	beforeGuard func()
 }
 
-func (n *network) Send(_ context.Context, _ Target, order openai.Order, guard Guard) error {
-	if n.paused != nil {
-		n.paused()
+func (n *fakeTransport) Send(_ context.Context, _ Target, order openai.Order, guard Guard) error {
+	if n.beforeGuard != nil {
+		n.beforeGuard()
 	}
 	if err := guard(); err != nil {
 		return err
 	}
-	time.Sleep(n.flight)
+	time.Sleep(n.latency)
 	e := n.engine
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func (n *network) State(context.Context, Target) (openai.OrderState, error) {
+func (n *fakeTransport) State(context.Context, Target) (openai.OrderState, error) {
 	n.engine.mu.Lock()
 	defer n.engine.mu.Unlock()
 	state := n.engine.state
@@ -62,9 +62,9 @@
 	return state, nil
 }
 
-type openWeights struct{ err error }
+type fakeWeights struct{ err error }
 
-func (w openWeights) Reserve(context.Context, string, string) error { return w.err }
+func (w fakeWeights) Reserve(context.Context, string, string) error { return w.err }
 
 const testTTL = 8 * time.Second
 
@@ -93,28 +93,28 @@
 func TestPausedHolder(t *testing.T) {
 	for _, honours := range []bool{true, false} {
 		for pauseAt := time.Duration(0); pauseAt < testTTL; pauseAt += testTTL / 8 {
-			for _, flight := range []time.Duration{0, 2 * time.Second} {
-				synctest.Test(t, func(t *testing.T) { pausedHolder(t, honours, pauseAt, flight) })
+			for _, latency := range []time.Duration{0, 2 * time.Second} {
+				synctest.Test(t, func(t *testing.T) { testPausedHolder(t, honours, pauseAt, latency) })
 			}
 		}
 	}
 }
 
-func pausedHolder(t *testing.T, honours bool, pauseAt, flight time.Duration) {
+func testPausedHolder(t *testing.T, honours bool, pauseAt, latency time.Duration) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	engine := &fakeEngine{honours: honours}
 	target := Target{Name: "e", HonoursFencing: honours}
 	began := time.Now()
-	oldNet, newNet := &network{engine: engine, flight: flight}, &network{engine: engine}
-	older, newer := newTestSender(t, oldNet, openWeights{}), newTestSender(t, newNet, openWeights{})
+	oldNet, newNet := &fakeTransport{engine: engine, latency: latency}, &fakeTransport{engine: engine}
+	older, newer := newTestSender(t, oldNet, fakeWeights{}), newTestSender(t, newNet, fakeWeights{})
 	older.Renewed(platform.Lease{Epoch: 1}, began)
 	older.mu.Lock()
 	// The old holder is past its own hand-over wait.
 	older.grant.Since = began.Add(-time.Hour)
 	older.mu.Unlock()
 	paused := false
-	oldNet.paused = func() {
+	oldNet.beforeGuard = func() {
 		if !paused && time.Since(began) >= pauseAt {
 			paused = true
 			time.Sleep(3 * testTTL)
@@ -134,22 +134,22 @@
 	time.Sleep(6 * testTTL)
 	cancel()
 	holders.Wait()
-	checkAppliedOrders(t, engine, honours, pauseAt, flight)
+	checkAppliedOrders(t, engine, honours, pauseAt, latency)
 }
 
-func checkAppliedOrders(t *testing.T, engine *fakeEngine, honours bool, pauseAt, flight time.Duration) {
+func checkAppliedOrders(t *testing.T, engine *fakeEngine, honours bool, pauseAt, latency time.Duration) {
 	t.Helper()
 	applied := engine.state.Applied
 	if len(applied) == 0 || applied[len(applied)-1].Epoch != 2 || engine.state.Role != "new" {
 		t.Errorf("honours %t, pause at %s: the new holder's order is not in effect: %v", honours, pauseAt, applied)
 	}
 	if !slices.IsSortedFunc(applied, func(a, b openai.Order) int { return int(a.Epoch - b.Epoch) }) {
-		t.Errorf("honours %t, pause at %s, flight %s: an old holder's order took effect after a new one's: %v", honours, pauseAt, flight, applied)
+		t.Errorf("honours %t, pause at %s, latency %s: an old holder's order took effect after a new one's: %v", honours, pauseAt, latency, applied)
 	}
 }
 
 func TestHoldReasons(t *testing.T) {
-	d := DefaultLeaseTiming(testTTL)
+	timing := DefaultLeaseTiming(testTTL)
 	began := time.Unix(1000, 0)
 	held := Grant{}.Renewed(platform.Lease{Epoch: 3}, began, began)
 	for _, c := range []struct {
@@ -162,11 +162,11 @@
 		{name: "no lease", want: ReasonNoLease},
 		{name: "fencing honoured", grant: held, honours: true},
 		{name: "fencing ignored: hand-over wait", grant: held, want: ReasonHandOver},
-		{name: "within the stop margin", grant: held, after: d.LeaseTTL - d.StopMargin, honours: true, want: ReasonLeaseEnding},
-		{name: "after a pause", grant: held, after: d.DetectPause + 1, honours: true, want: ReasonPaused},
-		{name: "a heartbeat does not end a pause", grant: held.WithHeartbeat(d, began.Add(time.Second)), after: time.Second, honours: true, want: ReasonPaused},
+		{name: "within the stop margin", grant: held, after: timing.LeaseTTL - timing.StopMargin, honours: true, want: ReasonLeaseEnding},
+		{name: "after a pause", grant: held, after: timing.DetectPause + 1, honours: true, want: ReasonPaused},
+		{name: "a heartbeat does not end a pause", grant: held.WithHeartbeat(timing, began.Add(time.Second)), after: time.Second, honours: true, want: ReasonPaused},
 	} {
-		err := c.grant.Check(d, c.honours, began.Add(c.after))
+		err := c.grant.Check(timing, c.honours, began.Add(c.after))
 		var hold *HoldError
 		if errors.As(err, &hold) != (c.want != "") || (hold != nil && hold.Reason != c.want) {
 			t.Errorf("%s: got %v, want %q", c.name, err, c.want)
@@ -176,7 +176,7 @@
 
 func TestWeightRateLimitHoldsLoad(t *testing.T) {
 	engine := &fakeEngine{honours: true}
-	s := newTestSender(t, &network{engine: engine}, openWeights{err: platform.ErrRateLimited})
+	s := newTestSender(t, &fakeTransport{engine: engine}, fakeWeights{err: platform.ErrRateLimited})
 	s.Renewed(platform.Lease{Epoch: 1}, time.Now())
 	_, err := s.Reconcile(t.Context(), Target{HonoursFencing: true}, openai.Order{Kind: openai.OrderLoad, Model: "m"})
 	var hold *HoldError
@@ -188,9 +188,9 @@
 // TestHTTPGuardStopsTheWrite guards against sending data on an established connection after
 // the guard has refused.
 func TestHTTPGuardStopsTheWrite(t *testing.T) {
-	taken := make(chan openai.Order, 1)
+	received := make(chan openai.Order, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		taken <- openai.Order{}
+		received <- openai.Order{}
 		w.WriteHeader(http.StatusConflict)
 	}))
 	defer server.Close()
@@ -198,11 +198,11 @@
 	transport := NewHTTPTransport()
 	refused := &HoldError{Reason: ReasonPaused}
 	err := transport.Send(t.Context(), Target{Address: address}, openai.Order{}, func() error { return refused })
-	if !errors.Is(err, refused) || len(taken) != 0 {
-		t.Errorf("got %v, taken %d", err, len(taken))
+	if !errors.Is(err, refused) || len(received) != 0 {
+		t.Errorf("got %v, received %d", err, len(received))
 	}
 	err = transport.Send(t.Context(), Target{Address: address}, openai.Order{}, func() error { return nil })
-	if !errors.Is(err, ErrFenced) || len(taken) != 1 {
-		t.Errorf("got %v, taken %d", err, len(taken))
+	if !errors.Is(err, ErrFenced) || len(received) != 1 {
+		t.Errorf("got %v, received %d", err, len(received))
 	}
 }
