--- a/internal/autoscale/scaler.go
+++ b/internal/autoscale/scaler.go
@@ -41,13 +41,13 @@
 	Metrics    *Metrics
 }
 
-// Scaler orders replicas while its node holds the duty lease. It implements duty.Work.
+// Scaler orders replicas while its node holds the duty lease. It implements duty.Task.
 type Scaler struct{ options Options }
 
 // New returns a Scaler.
 func New(options Options) *Scaler { return &Scaler{options: options} }
 
-// Run implements duty.Work.
+// Run implements duty.Task.
 func (s *Scaler) Run(ctx context.Context, term duty.Term) {
 	current := &session{options: s.options, term: term, orders: NewOrders(), registrations: make(map[string]*registrationTracker)}
 	for ctx.Err() == nil && !current.fenced {
--- a/internal/claim/crash_test.go
+++ b/internal/claim/crash_test.go
@@ -74,7 +74,8 @@
 	}
 }
 
-func TestRepeats(t *testing.T) {
+// A repeat with the same body returns the recorded answer; another body is refused.
+func TestRepeatGetsRecordedAnswer(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster, nodes []*testNode) {
 		expectResult(t, "the first", c.call(t, nodes[1], testKey, "body", stepNone), resultRan)
 		for _, node := range nodes {
--- a/internal/claim/fakecluster_test.go
+++ b/internal/claim/fakecluster_test.go
@@ -125,8 +125,8 @@
 	networkDelay           time.Duration
 	// nextOutcome, if set, returns the outcome of the next call that runs.
 	nextOutcome func() OutcomeKind
-	// regions, if set, maps each node to its region; preferredIn is then the owner per
-	// region. Views include only members of their own region.
+	// regions, if set, maps each node to its region; preferredByRegion is then the owner
+	// per region. Views include only members of their own region.
 	regions           map[string]string
 	preferredByRegion map[string]string
 }
--- a/internal/claim/regions_test.go
+++ b/internal/claim/regions_test.go
@@ -106,7 +106,8 @@
 		before := store.Calls()[platform.CallAcquire].Calls
 		time.Sleep(time.Minute)
 		tries := store.Calls()[platform.CallAcquire].Calls - before
-		// One try per second and shard would be 240.
+		// The west would exceed the bound of 10 tries per shard if it tried at every
+		// CheckInterval although the east holds the shards.
 		if bound := int64(claim.DefaultShards * 10); tries > bound {
 			t.Errorf("the west tried to acquire %d leases per minute while the east held them, want at most %d", tries, bound)
 		}
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -183,7 +183,7 @@
 const compactInterval = time.Second
 
 // waitDurable returns nil once the change is durable, otherwise errUncertain. For a
-// change by another attempt it returns errStuck as soon as the platform stops
+// change by another attempt it returns errWriteStalled as soon as the platform stops
 // responding: that attempt may still run, so the call must not be reported as not-run.
 func (s *shard) waitDurable(ctx context.Context, current *ring, changeNumber int64, otherAttempt bool) error {
 	for {
--- a/internal/claim/write.go
+++ b/internal/claim/write.go
@@ -25,6 +25,7 @@
 	expectedRevision int64
 	value            []byte
 
+	// sequence is the number of the segment that the write stores.
 	sequence int64
 	sealed   bool
 	// body contains all records of the segment.
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -32,7 +32,7 @@
 	Registry prometheus.Registerer
 }
 
-// Holder tries to become the holder of the duties while Run runs.
+// Holder competes for the lease of the duties and runs the tasks while it holds it.
 type Holder struct {
 	options Options
 	lease   *lease.Holder
@@ -72,7 +72,7 @@
 // Fence returns the current term's fencing token, or zero if this node is not the holder.
 func (h *Holder) Fence() int64 { return h.fence.Load() }
 
-// Run tries to become the holder and runs the tasks of each term, until ctx ends.
+// Run competes for the lease and runs the tasks of each term, until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
 	if err := h.lease.Run(ctx); err != nil {
 		// The lease expires by itself.
--- a/internal/edge/options.go
+++ b/internal/edge/options.go
@@ -16,7 +16,9 @@
 	Codec    forward.Codec
 	// Decode parses the operator's configuration.
 	Decode func([]byte) (*route.Document, error)
-	Wire   Wire
+	// Wire has the paths of the readiness and resolve endpoints, reads the resolve request
+	// and writes its response.
+	Wire Wire
 	// Duties is nil if the fleet has no duties.
 	Duties DutyPlatform
 	Clock  boottime.Clock
--- a/internal/lease/grant.go
+++ b/internal/lease/grant.go
@@ -30,10 +30,10 @@
 	sentAt time.Time
 	// checkedAt is the time of the newest check.
 	checkedAt time.Time
-	end       EndReason
+	endReason EndReason
 }
 
-// newGrant returns the grant of a call sent at asked and answered at now.
+// newGrant returns the grant of a call sent at sentAt and answered at now.
 func newGrant(s Settings, lease platform.Lease, sentAt, now time.Time) grant {
 	g := grant{lease: lease, sentAt: sentAt, checkedAt: now}
 	g.check(s, now)
@@ -44,17 +44,17 @@
 // acted on.
 func (g *grant) check(s Settings, now time.Time) bool {
 	switch {
-	case g.end != "":
+	case g.endReason != "":
 	case elapsed(g.checkedAt, now) > s.PauseBound:
-		g.end = EndPaused
+		g.endReason = EndPaused
 	case elapsed(g.sentAt, now) >= s.usable():
-		g.end = EndLapsed
+		g.endReason = EndLapsed
 	}
 	g.checkedAt = now
-	return g.end == ""
+	return g.endReason == ""
 }
 
-// extend records a successful renewal that was sent at asked.
+// extend records a successful renewal that was sent at sentAt.
 func (g *grant) extend(sentAt time.Time) {
 	if sentAt.After(g.sentAt) {
 		g.sentAt = sentAt
@@ -63,8 +63,8 @@
 
 // finish ends the grant, unless it has ended.
 func (g *grant) finish(reason EndReason) {
-	if g.end == "" {
-		g.end = reason
+	if g.endReason == "" {
+		g.endReason = reason
 	}
 }
 
--- a/internal/lease/grant_test.go
+++ b/internal/lease/grant_test.go
@@ -33,8 +33,8 @@
 			for _, check := range test.checks {
 				g.check(settings, sentAt.Add(check))
 			}
-			if held := g.check(settings, test.last); held != (test.want == "") || g.end != test.want {
-				t.Errorf("held %v, ended %q, want %q", held, g.end, test.want)
+			if held := g.check(settings, test.last); held != (test.want == "") || g.endReason != test.want {
+				t.Errorf("held %v, ended %q, want %q", held, g.endReason, test.want)
 			}
 		})
 	}
--- a/internal/lease/source.go
+++ b/internal/lease/source.go
@@ -19,7 +19,7 @@
 
 // Observer receives a term's events as they happen. Its methods must not block.
 type Observer interface {
-	// Renewed is called after a successful acquire or renewal that was sent at asked.
+	// Renewed is called after a successful acquire or renewal that was sent at sentAt.
 	Renewed(lease platform.Lease, sentAt time.Time)
 	// Beat is called after each clock check that found the term in force.
 	Beat()
@@ -70,7 +70,7 @@
 		return nil, errs.Wrap(errs.Platform, err, step, name)
 	}
 	g := newGrant(s.settings, granted, sentAt, s.now())
-	if g.end != "" {
+	if g.endReason != "" {
 		s.metrics.failed.WithLabelValues(string(platform.CallAcquire)).Inc()
 		return nil, errs.Wrap(errs.Platform, errTooLate, step, name)
 	}
--- a/internal/lease/term.go
+++ b/internal/lease/term.go
@@ -52,7 +52,7 @@
 func (t *Term) Held(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.grant.end != "" {
+	if t.grant.endReason != "" {
 		return false
 	}
 	if !t.grant.check(t.source.settings, now) {
@@ -66,7 +66,7 @@
 func (t *Term) EndReason() EndReason {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.grant.end
+	return t.grant.endReason
 }
 
 // Release ends the term locally and then at the platform, for a planned stop.
@@ -87,7 +87,7 @@
 func (t *Term) finish(reason EndReason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.grant.end == "" {
+	if t.grant.endReason == "" {
 		t.grant.finish(reason)
 		t.closeLocked()
 	}
@@ -96,7 +96,7 @@
 // closeLocked publishes the end of the term, once. The caller holds t.mu.
 func (t *Term) closeLocked() {
 	t.source.removeTerm(t)
-	t.source.metrics.ended.WithLabelValues(string(t.grant.end)).Inc()
+	t.source.metrics.ended.WithLabelValues(string(t.grant.endReason)).Inc()
 	close(t.done)
 }
 
--- a/internal/leaving/set.go
+++ b/internal/leaving/set.go
@@ -11,7 +11,7 @@
 	SignalTTL = 10 * time.Minute
 )
 
-// signalKey identifies a signal.
+// signalKey is a key of Set.signals: there is one signal per name and source.
 type signalKey struct {
 	name   string
 	source Source
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -62,13 +62,13 @@
 	Metrics *Metrics
 }
 
-// Reporter reports usage while this node holds the duty. It implements duty.Work.
+// Reporter reports usage while this node holds the duty. It implements duty.Task.
 type Reporter struct{ options ReporterOptions }
 
 // NewReporter returns a reporter.
 func NewReporter(options ReporterOptions) *Reporter { return &Reporter{options: options} }
 
-// Run implements duty.Work.
+// Run implements duty.Task.
 func (r *Reporter) Run(ctx context.Context, term duty.Term) {
 	s := &session{options: r.options, term: term}
 	for ctx.Err() == nil && !s.fenced {
